--- a/include/citronlane/routing/budget.h
+++ b/include/citronlane/routing/budget.h
@@ -5,8 +5,9 @@
 
 namespace citronlane {
 
-/// Bounds extra calls (hedges or retries) to a share of the first calls: each
-/// first call earns `ratio` of an extra one, up to `burst`. Not thread safe.
+/// Token bucket that bounds extra calls (hedges or retries) to a fraction of
+/// the first calls: each first call earns `ratio` of an extra one, up to
+/// `burst`. Starts full. Not thread safe.
 class Budget {
  public:
   Budget(double ratio, double burst);
--- a/include/citronlane/routing/call_outcome.h
+++ b/include/citronlane/routing/call_outcome.h
@@ -10,9 +10,9 @@
   kSuccess,
   /// No connection was made: nothing ran.
   kConnectFailed,
-  /// The server answered 429 or 503.
+  /// The server replied with 429 or 503.
   kRejected,
-  /// The server answered another 5xx, or a reply that can not be used.
+  /// The server replied with another 5xx, or with a reply that can not be used.
   kServerError,
   /// The connection closed after bytes of the call were sent.
   kClosedAfterSend,
--- a/include/citronlane/routing/deadline_split.h
+++ b/include/citronlane/routing/deadline_split.h
@@ -7,10 +7,10 @@
 
 namespace citronlane {
 
-/// Derives from learned times what the next stage may take of `remaining`.
-/// `learned` has a high quantile of the times of the next stage and of each one
-/// behind it, in order; zero for unknown. With no entry, or an unknown one, the
-/// stage may take all that is left. Thread safe.
+/// Returns how much of `remaining` the next stage may take. `learned` has a
+/// high quantile of the observed times of the next stage and of each later one,
+/// in order; zero for unknown. With no entry, or an unknown one, the stage may
+/// take all that is left. A negative `remaining` counts as zero. Thread safe.
 StageTime SplitDeadline(Duration remaining, absl::Span<const Duration> learned);
 
 }  // namespace citronlane
--- a/include/citronlane/routing/detail/candidate_picker.h
+++ b/include/citronlane/routing/detail/candidate_picker.h
@@ -19,11 +19,13 @@
 class PrefixIndex;
 class ServerTable;
 
-/// Picks the server of a call among a few candidates: two at random (near
-/// first, one far), the holder of the call's prefix and the prefix's home.
-/// Borrows its inputs. Not thread safe.
+/// Picks the server of a call among a few candidates: randomly sampled servers
+/// (two near ones and a far one where domains count, else two of all), the
+/// holder of the call's prefix, and the prefix's preferred server. Borrows its
+/// inputs, which must outlive it. Not thread safe.
 class CandidatePicker {
  public:
+  /// Returns a number below its argument, which is at least 1.
   using RandomHook = std::function<uint64_t(uint64_t)>;
 
   CandidatePicker(const RouterOptions& options,
@@ -40,15 +42,20 @@
  private:
   struct Candidate {
     uint32_t index_;
+    /// Expected time in microseconds, times penalties.
     double cost_;
     double load_;
   };
 
-  bool MayTake(uint32_t index) const;
-  Candidate Weigh(TimePoint now, const CallShape& call, uint32_t index) const;
-  void Draw(const std::vector<uint32_t>& from,
-            size_t count,
-            std::vector<uint32_t>* drawn);
+  /// Whether the server is usable, not excluded, and no probe call runs there.
+  bool IsEligible(uint32_t index) const;
+  Candidate Evaluate(TimePoint now,
+                     const CallShape& call,
+                     uint32_t index) const;
+  /// Appends up to `count` eligible servers of `from` to `sampled`.
+  void Sample(const std::vector<uint32_t>& from,
+              size_t count,
+              std::vector<uint32_t>* sampled);
   std::optional<uint32_t> PickRoundRobin();
   std::optional<uint32_t> PickLeastInFlight();
   std::optional<uint32_t> PickExpectedFinish(TimePoint now,
@@ -63,9 +70,11 @@
   const FinishEstimator* const estimator_;
   const PrefixIndex* const prefixes_;
   const RandomHook random_;
-  /// Servers the present call was already sent to.
+  /// Servers that the current call must not use.
   std::vector<uint32_t> excluded_;
-  std::vector<uint32_t> drawn_;
+  /// Candidates of the current call, kept to reuse the memory.
+  std::vector<uint32_t> sampled_;
+  /// Position of the round robin.
   size_t next_ = 0;
 };
 
--- a/include/citronlane/routing/detail/decayed_mean.h
+++ b/include/citronlane/routing/detail/decayed_mean.h
@@ -6,8 +6,8 @@
 
 namespace citronlane {
 
-/// Mean in which each new sample has the same weight, so old ones fade. The
-/// first samples weigh as in a plain mean. Not thread safe.
+/// Exponentially weighted moving average. The first samples weigh as in a plain
+/// mean. Not thread safe.
 class DecayedMean {
  public:
   /// `weight` of a new sample, above 0 and at most 1.
@@ -18,6 +18,7 @@
     const double weight = std::max(weight_, 1.0 / static_cast<double>(count_));
     value_ += weight * (sample - value_);
   }
+  /// Multiplies the mean by `factor`.
   void Scale(double factor) { value_ *= factor; }
   void Reset() {
     value_ = 0;
@@ -26,6 +27,7 @@
 
   /// 0 while count() is 0.
   double value() const { return value_; }
+  /// Samples added since the last Reset.
   size_t count() const { return count_; }
 
  private:
--- a/include/citronlane/routing/detail/latency_window.h
+++ b/include/citronlane/routing/detail/latency_window.h
@@ -11,15 +11,17 @@
 
 namespace citronlane {
 
-/// Quantiles of recent latencies, over the current and the last window of
-/// time. Quantile() costs one pass over the bins. Not thread safe.
+/// Quantiles of recent latencies, over the current and the previous time
+/// window. A Quantile call scans all histogram bins. Not thread safe.
 class LatencyWindow {
  public:
   explicit LatencyWindow(Duration window);
 
   void Add(TimePoint now, Duration latency);
-  /// `quantile` is 0 to 1. Nothing below `min_samples` samples.
+  /// `quantile` is 0 to 1. Nullopt without samples or with fewer than
+  /// `min_samples`. Windows advance in Add only.
   std::optional<Duration> Quantile(double quantile, size_t min_samples) const;
+  /// Samples in both windows.
   size_t count() const;
 
  private:
@@ -35,9 +37,9 @@
 
   const Duration window_;
   Histogram current_;
-  Histogram last_;
+  Histogram previous_;
   size_t current_count_ = 0;
-  size_t last_count_ = 0;
+  size_t previous_count_ = 0;
   TimePoint window_end_{};
 };
 
--- a/include/citronlane/routing/detail/load_curve.h
+++ b/include/citronlane/routing/detail/load_curve.h
@@ -8,21 +8,22 @@
 
 namespace citronlane {
 
-/// Learned time of one unit of work as a function of the calls that a server
-/// has beside it. It makes no assumption on how a server shares itself (slots,
-/// batches, queue): it interpolates what was seen. Not thread safe.
+/// Learned time of one unit of work as a function of the server's other calls.
+/// It makes no assumption on how a server schedules them (slots, batches,
+/// queue): it interpolates observations. Not thread safe.
 class LoadCurve {
  public:
   LoadCurve();
 
   void Add(double load, double time);
-  /// Time at `load`. 0 while nothing was seen. Beyond the highest load seen
-  /// each call more adds `per_call`.
+  /// Time at `load`; 0 without observations. Beyond the highest observed load,
+  /// each further call adds `per_call`.
   double At(double load, double per_call) const;
-  /// The same, proportional to load + 1 beyond the highest load seen.
+  /// The same, proportional to load + 1 beyond the highest observed load.
   double At(double load) const;
-  /// Mean load of the highest bucket seen; 0 while nothing was seen.
+  /// Mean load in the highest bucket with observations; 0 without any.
   double HighestLoad() const;
+  /// Multiplies all times by `factor`.
   void Scale(double factor);
   size_t count() const { return count_; }
 
--- a/include/citronlane/routing/detail/outstanding_call.h
+++ b/include/citronlane/routing/detail/outstanding_call.h
@@ -10,14 +10,14 @@
 /// One call of this gateway that a server has not finished.
 struct OutstandingCall {
   TimePoint start_{};
-  /// Calls the server had beside it at the start.
+  /// The server's other calls at the start.
   double load_ = 0;
-  /// Usual time of such a call in the pool at that load.
+  /// Typical time of such a call in the pool at that load.
   Duration expected_{};
   uint32_t priority_ = 1;
-  /// Time to the first byte; zero until it came.
+  /// Time to the first byte; zero until it arrived.
   Duration first_byte_{};
-  /// Whether the server was believed to hold the call's prefix.
+  /// Whether the server was assumed to hold the call's prefix.
   bool prefix_hit_ = false;
 };
 
--- a/include/citronlane/routing/detail/peer_load.h
+++ b/include/citronlane/routing/detail/peer_load.h
@@ -7,7 +7,7 @@
 
 namespace citronlane {
 
-/// Calls in flight that one other gateway last said to have at a server.
+/// Calls in flight at a server that one other gateway last reported.
 struct PeerLoad {
   uint32_t gateway_ = 0;
   double in_flight_ = 0;
--- a/include/citronlane/routing/detail/server_state.h
+++ b/include/citronlane/routing/detail/server_state.h
@@ -14,67 +14,83 @@
 
 namespace citronlane {
 
-/// What one gateway knows of one backend server. Not thread safe.
+/// Load, failures and speed of one backend server as one gateway knows them.
+/// Not thread safe.
 class ServerState {
  public:
   ServerState(std::string id, bool near);
 
   const std::string& id() const { return id_; }
+  /// Whether the server is in this gateway's failure domain.
   bool near() const { return near_; }
   void set_near(bool near) { near_ = near; }
 
-  /// `expected` is the pool's usual time for such a call at this load.
+  /// `expected` is the pool's typical time of such a call at this load.
   void StartCall(TimePoint now,
                  Duration expected,
                  uint32_t priority,
                  bool prefix_hit);
-  /// Removes and returns the call that began `latency` before `now`.
+  /// Removes and returns the call that started closest to `latency` before
+  /// `now`; nullopt when none is in flight.
   std::optional<OutstandingCall> EndCall(TimePoint now, Duration latency);
-  /// Notes the first byte of that call and returns it, or nothing.
-  const OutstandingCall* NoteFirstByte(TimePoint now, Duration latency);
+  /// Records the first byte of that call and returns it, or null. The pointer
+  /// is valid until the next StartCall or EndCall.
+  const OutstandingCall* RecordFirstByte(TimePoint now, Duration latency);
   size_t in_flight() const { return calls_.size(); }
-  /// Time the calls in flight have waited, as a multiple of what was expected
-  /// of them; 0 without any.
-  double Overdue(TimePoint now) const;
+  /// Total time that the calls in flight have waited, as a multiple of their
+  /// expected times; 0 without any.
+  double OverdueRatio(TimePoint now) const;
 
+  /// The server's report of its queued calls, made `age` before `now`. Ignored
+  /// when older than the last one.
   void SetReport(TimePoint now, Duration age, double queued_calls);
   void SetPeerLoad(uint32_t gateway, TimePoint now, double in_flight);
-  /// Forgets what peers said too long ago.
+  /// Removes the loads of gateways that have not reported for a while.
   void ExpirePeers(TimePoint now);
-  /// Calls at the server: own, and the others' by reports and peers.
+  /// Calls at the server: own ones, plus those of others, which are the larger
+  /// of the sum over peers and of the server's report as it decays.
   double Load(TimePoint now) const;
 
-  /// Counts the end of a call towards the failure share.
-  void CountOutcome(TimePoint now, CallOutcome outcome);
-  /// Share of failed calls, 0 to 1; fades while no call is made.
-  double FailureShare(TimePoint now) const;
+  /// Counts the end of a call towards the failure ratio, unless it was
+  /// cancelled. A success ends a probe.
+  void RecordOutcome(TimePoint now, CallOutcome outcome);
+  /// Failed calls of all calls, 0 to 1, weighted to recent ones; decays while
+  /// no call ends.
+  double FailureRatio(TimePoint now) const;
+  /// Outcomes that FailureRatio was computed from.
   size_t outcomes() const { return failures_.count(); }
   int consecutive_failures() const { return consecutive_failures_; }
 
-  /// Learned time of the server relative to its pool: 1 is usual, 10 is ten
-  /// times as slow. Old evidence fades towards 1; calls overdue count as well.
+  /// Learned time of the server's calls relative to the pool's typical time: 10
+  /// is ten times as slow. Decays towards 1 without new samples; overdue calls
+  /// in flight raise it at once.
   double SlowFactor(TimePoint now) const;
   void AddSlowSample(TimePoint now, double factor);
-  /// Scales the factor when the pool's usual speed is corrected.
+  /// Scales the factor when the pool's typical times are corrected.
   void ScaleSlow(double factor) { slow_.Scale(factor); }
   size_t slow_samples() const { return slow_.count(); }
 
   /// Cheap check whether the server may be an outlier at all: it failed lately,
-  /// was seen slow, or has calls in flight for long.
+  /// was slow, or has overdue calls.
   bool MayBeOutlier(TimePoint now) const;
 
   void Eject(TimePoint until);
   bool IsEjected(TimePoint now) const { return now < ejected_until_; }
+  /// End of the last ejection; the epoch when there was none since Reset.
   TimePoint ejected_until() const { return ejected_until_; }
+  /// Ejections since the server was last healthy.
   int ejections() const { return ejections_; }
-  /// Back from ejection: what was learned is doubtful, a few calls will tell.
+  /// The server returns after an ejection: clears its failures and slow factor.
+  /// It takes one call at a time until one succeeds.
   void BeginProbe(TimePoint now);
+  /// Whether no call has succeeded since BeginProbe.
   bool probing() const { return probing_; }
-  /// Forgets everything but the calls in flight: another process answers now,
-  /// and is probed first.
+  /// A new incarnation of the server runs: clears what was learned of the
+  /// previous one and begins a probe. Calls in flight and peers' loads stay.
   void Reset(TimePoint now);
 
  private:
+  /// The call whose start is closest; calls_.end() when there is none.
   std::vector<OutstandingCall>::iterator Find(TimePoint start);
 
   std::string id_;
@@ -85,6 +101,7 @@
   Duration expected_sum_{};
   std::vector<PeerLoad> peers_;
   double peer_sum_ = 0;
+  /// Calls of others by the server's last report.
   double reported_others_ = 0;
   std::optional<TimePoint> reported_at_;
   DecayedMean failures_;
--- a/include/citronlane/routing/detail/server_table.h
+++ b/include/citronlane/routing/detail/server_table.h
@@ -19,15 +19,15 @@
 
 struct PoolConfig;
 
-/// The servers of a pool and which of them may take calls: not leaving, not
-/// ejected. Servers are named by index; indices change only in Update. Not
-/// thread safe.
+/// The servers of a pool, and which of them are usable: neither draining nor
+/// ejected, or merely not draining when that leaves none. Servers are
+/// identified by index; indices change only in Update. Not thread safe.
 class ServerTable {
  public:
   explicit ServerTable(const RouterOptions& options);
 
-  /// Takes the pool's list. Servers that stay keep their state; True
-  /// when the list changed.
+  /// Applies the pool's list. Servers that stay keep their state. Returns
+  /// whether servers were added or removed.
   bool Update(const PoolConfig& pool, TimePoint now);
 
   std::optional<uint32_t> Find(std::string_view id) const;
@@ -36,21 +36,24 @@
   size_t size() const { return servers_.size(); }
   std::vector<std::string> ids() const;
 
-  /// Leaving holds for this incarnation (the newest known one for 0) and every
-  /// lower one, also while the server is absent from the list.
+  /// Marks this incarnation (the highest known one for 0) and every lower one
+  /// as draining, also while the server is absent from the list. Takes effect
+  /// on the usable servers in the next Maintain.
   void MarkLeaving(std::string_view id, uint64_t incarnation);
-  /// A higher incarnation takes calls again, a probe first. True when it
-  /// was news.
+  /// Marks an incarnation as running. If it is higher than a draining one, the
+  /// server is usable again from the next Maintain on, a probe call first.
+  /// Returns whether a listed server came back that way.
   bool MarkAlive(std::string_view id, uint64_t incarnation, TimePoint now);
 
-  /// Ends ejections, ejects outliers, expires peers' figures, for some servers
-  /// in turn; cheap when called again soon. Returns what to scale the usual
-  /// speed by.
+  /// Ends ejections that are due, ejects outliers and expires peers' loads.
+  /// Checks a bounded number of servers in turn; returns early when called
+  /// again soon. Returns the factor to scale the pool's typical times by.
   double Maintain(TimePoint now);
 
-  /// Servers that may take calls, split by this gateway's failure domain.
+  /// Usable servers in this gateway's failure domain, and in the others.
   const std::vector<uint32_t>& near() const { return near_; }
   const std::vector<uint32_t>& far() const { return far_; }
+  /// All usable servers, and the same as a flag for each server.
   const std::vector<uint32_t>& usable() const { return usable_; }
   const std::vector<bool>& usable_flags() const { return usable_flags_; }
 
@@ -62,17 +65,20 @@
 
   bool IsLeaving(const std::string& id) const;
   bool EndEjection(TimePoint now, size_t index);
-  double Recenter(TimePoint now);
+  /// Divides the slow factors by their median, within limits, and returns it.
+  double CenterSlowFactors(TimePoint now);
   void Rebuild(TimePoint now);
-  /// Makes the lists of usable servers: those that stay and are accepted.
+  /// Rebuilds the lists of usable servers from those that are not draining and
+  /// that `accept` accepts.
   template <typename Accept>
-  void TakeUsable(const Accept& accept);
+  void CollectUsable(const Accept& accept);
 
   const RouterOptions options_;
   const OutlierDetector detector_;
   std::vector<ServerState> servers_;
   std::unordered_map<std::string, uint32_t> by_id_;
-  /// Kept for absent servers as well, so that a late list changes nothing.
+  /// Kept for absent servers as well, so that an outdated list can not bring a
+  /// draining server back.
   std::map<std::string, Incarnation, std::less<>> incarnations_;
   std::vector<uint32_t> near_;
   std::vector<uint32_t> far_;
@@ -82,7 +88,7 @@
   size_t next_server_ = 0;
   TimePoint next_check_{};
   TimePoint next_comparison_{};
-  TimePoint next_recenter_{};
+  TimePoint next_centering_{};
 };
 
 }  // namespace citronlane
--- a/include/citronlane/routing/hedge_outcome.h
+++ b/include/citronlane/routing/hedge_outcome.h
@@ -5,20 +5,20 @@
 
 namespace citronlane {
 
-/// Why a slow call was hedged or not; each has its counter.
+/// Why a slow call was hedged or not. Each outcome has a metrics counter.
 enum class HedgeOutcome {
   kHedged,
   /// The call may not be repeated.
   kNonIdempotent,
-  /// Batch work waits.
+  /// Batch work is never hedged.
   kBatch,
-  /// Not slow yet, or what is slow is not known yet.
+  /// The hedge delay has not passed, or too few calls were observed to know it.
   kNotSlow,
-  /// The answer could not be ready in time.
+  /// A second call could not finish before the deadline.
   kNoTime,
   /// The pool is busy: a second call would make it worse.
   kOverloaded,
-  /// The class's spend runs low.
+  /// The class is close to its spend limit.
   kSpendTight,
   kBudgetExhausted,
 };
--- a/include/citronlane/routing/hedge_policy.h
+++ b/include/citronlane/routing/hedge_policy.h
@@ -11,18 +11,19 @@
 
 namespace citronlane {
 
-/// Decides whether a slow call of one pool is sent to a second server. Pure.
-/// Not thread safe.
+/// Decides whether a slow call of one pool is also sent to a second server. It
+/// neither chooses the server (see PoolRouter) nor makes the call. Not thread
+/// safe.
 class HedgePolicy {
  public:
-  /// `budget_ratio` bounds hedges to this part of the first calls.
+  /// `budget_ratio` bounds hedges to this fraction of the first calls.
   explicit HedgePolicy(double budget_ratio = kDefaultBudgetRatio);
 
-  /// A first call was made: earns a part of a hedge.
+  /// A first call was made: earns `budget_ratio` of a hedge.
   void OnFirstCall() { budget_.Earn(); }
 
-  /// Decides for a call that has reached its hedge delay, and takes a hedge
-  /// from the budget when it says kHedged.
+  /// Decides for a call that has reached its hedge delay. Takes one hedge from
+  /// the budget when it returns kHedged.
   HedgeOutcome Decide(const HedgeQuery& query);
 
   /// How often Decide gave the outcome.
--- a/include/citronlane/routing/hedge_query.h
+++ b/include/citronlane/routing/hedge_query.h
@@ -7,15 +7,15 @@
 
 namespace citronlane {
 
-/// A call that is still waiting for its first byte, or for its whole answer
-/// when it does not stream.
+/// A call that is still waiting for its first byte, or for its full reply when
+/// it does not stream.
 struct HedgeQuery {
   bool non_idempotent_ = false;
   bool batch_ = false;
   Duration elapsed_{};
   /// PoolRouter::HedgeDelay.
   std::optional<Duration> delay_;
-  /// What a second call is expected to take to the same point.
+  /// Expected time of a second call to the same point.
   std::optional<Duration> expected_;
   /// Time left until the call's deadline.
   Duration remaining_{};
--- a/include/citronlane/routing/repeat_budget.h
+++ b/include/citronlane/routing/repeat_budget.h
@@ -8,16 +8,17 @@
 
 namespace citronlane {
 
-/// Bounds what one node sends a second time to a service within any window: a
-/// part of what it sent for the first time, and its share of a fixed allowance.
-/// The shares of all nodes add up to less than the whole bound however traffic
-/// moves among them, since each counts its own requests only. Pure. Not thread
-/// safe.
+/// Bounds the requests that one node repeats (sends again) to a service within
+/// any time window: a fraction of those it sent for the first time, plus an
+/// equal share of an allowance common to all nodes. The bounds of all nodes add
+/// up to less than the common bound however traffic moves among them, since
+/// each node counts only its own requests. Time is passed in. Not thread safe.
 class RepeatBudget {
  public:
   struct Options {
+    /// Repeats for each first request.
     double ratio_ = 0.1;
-    /// Over all nodes.
+    /// Allowance in repeats per window, over all nodes.
     double extra_ = 0;
     Duration window_ = std::chrono::seconds(10);
   };
@@ -26,14 +27,15 @@
 
   /// A request was sent for the first time.
   void OnFirst(TimePoint now);
-  /// Takes one repeat; false when none is left. `nodes` is how many share the
-  /// allowance.
+  /// Takes one repeat; false when none is left. `nodes` is the number of nodes
+  /// that share the allowance; 0 counts as 1.
   bool TryTake(TimePoint now, size_t nodes);
 
+  /// Repeats taken within the window that ends at `now`.
   size_t repeats(TimePoint now);
 
  private:
-  void Forget(TimePoint now);
+  void Expire(TimePoint now);
 
   const Options options_;
   std::deque<TimePoint> first_;
--- a/include/citronlane/routing/retry_decision.h
+++ b/include/citronlane/routing/retry_decision.h
@@ -6,10 +6,10 @@
 
 namespace citronlane {
 
-/// Whether and when a failed call is tried again.
+/// Whether and when a failed call is retried.
 struct RetryDecision {
   RetryOutcome outcome_ = RetryOutcome::kNotFailed;
-  /// Wait before the next try; zero when there is none.
+  /// Wait before the retry; zero when there is none.
   Duration backoff_{};
 };
 
--- a/include/citronlane/routing/retry_outcome.h
+++ b/include/citronlane/routing/retry_outcome.h
@@ -5,7 +5,7 @@
 
 namespace citronlane {
 
-/// Why a failed call was retried or not; each has its counter.
+/// Why a failed call was retried or not. Each outcome has a metrics counter.
 enum class RetryOutcome {
   // Retried, by how the call failed.
   kAfterConnectFailed,
@@ -20,7 +20,7 @@
   /// The call may have run and may not be repeated.
   kMayHaveRun,
   kTooManyAttempts,
-  /// Another try could not be done before the deadline.
+  /// A retry could not finish before the deadline.
   kNoTime,
   kBudgetExhausted,
 };
--- a/include/citronlane/routing/retry_policy.h
+++ b/include/citronlane/routing/retry_policy.h
@@ -14,9 +14,10 @@
 
 namespace citronlane {
 
-/// Decides whether a failed call of one pool is tried again: only what may be
-/// repeated, within a budget, and never past the deadline. Pure. Not thread
-/// safe.
+/// Decides whether a failed call of one pool is retried: only a call that may
+/// be repeated, within a budget, and never past the deadline. It neither
+/// chooses the next server (see PoolRouter) nor makes the call. Randomness is
+/// passed in. Not thread safe.
 class RetryPolicy {
  public:
   /// Returns a number below its argument, which is at least 1.
@@ -24,13 +25,14 @@
 
   explicit RetryPolicy(RandomHook random);
 
-  /// A first call was made: earns a part of a retry.
+  /// A first call was made: earns a fraction of a retry.
   void OnFirstCall() { budget_.Earn(); }
 
-  /// Decides, and takes a retry from the budget when it grants one.
+  /// Decides for a call that ended; takes a retry from the budget when it
+  /// grants one.
   RetryDecision Decide(const RetryQuery& query);
 
-  /// Whether the call may have run, by how it ended. Thread safe.
+  /// Whether the call may have run, derived from how it ended. Thread safe.
   static Verdict VerdictOf(CallOutcome outcome, bool rejection_means_not_run);
 
   /// How often Decide gave the outcome.
@@ -42,6 +44,7 @@
   static constexpr size_t kOutcomes =
       static_cast<size_t>(RetryOutcome::kBudgetExhausted) + 1;
 
+  /// Random wait with full jitter; its bound doubles with each attempt.
   Duration Backoff(uint32_t attempts);
   RetryOutcome Check(const RetryQuery& query, Duration backoff);
 
--- a/include/citronlane/routing/retry_query.h
+++ b/include/citronlane/routing/retry_query.h
@@ -19,7 +19,7 @@
   uint32_t attempts_ = 1;
   /// Time left until the request's deadline.
   Duration remaining_{};
-  /// What another try is expected to take, when known.
+  /// Expected time of another attempt, when known.
   std::optional<Duration> expected_;
 };
 
--- a/include/citronlane/routing/router_options.h
+++ b/include/citronlane/routing/router_options.h
@@ -7,8 +7,8 @@
 
 namespace citronlane {
 
-/// How a PoolRouter decides. The switches exist so that each mechanism can be
-/// measured without it.
+/// How a PoolRouter decides. Each mechanism can be switched off, so that its
+/// effect can be measured.
 struct RouterOptions {
   enum class Choice { kRoundRobin, kLeastInFlight, kExpectedFinish };
 
@@ -18,10 +18,11 @@
   bool ejection_ = true;
   /// Failure domain of this gateway.
   std::string failure_domain_;
-  /// Affinity holds while the server's load is below this factor of the mean.
+  /// Prefix affinity applies up to this multiple of the candidates' mean load
+  /// plus one call.
   double affinity_load_factor_ = 1.25;
-  /// Largest part of a pool that may be ejected at once.
-  double max_ejected_ = 0.34;
+  /// Largest fraction of a pool that may be ejected at once.
+  double max_ejected_fraction_ = 0.34;
   /// Quantile of call times after which a hedge starts.
   double hedge_quantile_ = 0.95;
 };
--- a/include/citronlane/routing/server_choice.h
+++ b/include/citronlane/routing/server_choice.h
@@ -10,7 +10,7 @@
 /// The backend server chosen for a call.
 struct ServerChoice {
   std::string server_;
-  /// Expected time until the call is done, from learned speed and queue.
+  /// Expected time until the call is done, from the server's speed and load.
   Duration expected_finish_{};
 };
 
--- a/include/citronlane/routing/stage_time.h
+++ b/include/citronlane/routing/stage_time.h
@@ -5,12 +5,12 @@
 
 namespace citronlane {
 
-/// What one stage may take of the time that is left.
+/// How much of the time that is left one stage may take.
 struct StageTime {
-  /// After this a call that has answered nothing is worth trying elsewhere; it
-  /// goes on when RetryPolicy does not grant another try.
+  /// Time after which a call without any reply is worth a retry elsewhere. The
+  /// call goes on when RetryPolicy does not grant one.
   Duration share_{};
-  /// After this the stages behind could not be done in time.
+  /// Time after which the later stages could not finish before the deadline.
   Duration limit_{};
 };
 
--- a/src/routing/call_priority.cc
+++ b/src/routing/call_priority.cc
@@ -6,16 +6,16 @@
 namespace {
 
 constexpr uint32_t kUrgent = 0;
-constexpr uint32_t kUsual = 1;
+constexpr uint32_t kNormal = 1;
 constexpr uint32_t kBatch = 2;
 
 }  // namespace
 
-uint32_t CallPriority(const ClassConfig& declared) {
-  if (declared.batch_) {
+uint32_t CallPriority(const ClassConfig& config) {
+  if (config.batch_) {
     return kBatch;
   }
-  return declared.first_token_target_ ? kUrgent : kUsual;
+  return config.first_token_target_ ? kUrgent : kNormal;
 }
 
 }  // namespace citronlane
--- a/src/routing/candidate_picker.cc
+++ b/src/routing/candidate_picker.cc
@@ -11,17 +11,18 @@
 namespace citronlane {
 namespace {
 
-constexpr size_t kChoices = 2;
-/// Candidates in all when some are taken from the near failure domain.
-constexpr size_t kNearAndFarChoices = 3;
-/// Random draws for each wanted candidate before the list is read in order.
-constexpr size_t kDrawsPerChoice = 4;
-/// A far server must be this much better than the best near one.
+constexpr size_t kSampledServers = 2;
+/// Servers sampled in all when some are from the near failure domain.
+constexpr size_t kSampledNearAndFar = 3;
+/// Random draws for each wanted server before the list is scanned in order.
+constexpr size_t kDrawsPerServer = 4;
+/// Factor on the cost of a server in another failure domain.
 constexpr double kFarPenalty = 1.1;
-/// Weight of the share of failed calls in the cost of a server, in calls.
+/// Extra cost of a server all of whose calls fail, in calls.
 constexpr double kFailurePenalty = 4;
-/// The prefix's server may be this much worse than the best candidate.
-constexpr double kAffinityTolerance = 1.25;
+/// Cost of the prefix's server that is accepted, relative to the best sampled
+/// one.
+constexpr double kMaxAffinityCostRatio = 1.25;
 
 bool Contains(const std::vector<uint32_t>& list, uint32_t index) {
   return std::find(list.begin(), list.end(), index) != list.end();
@@ -61,7 +62,7 @@
   return std::nullopt;
 }
 
-bool CandidatePicker::MayTake(uint32_t index) const {
+bool CandidatePicker::IsEligible(uint32_t index) const {
   const ServerState& server = servers_->at(index);
   const bool busy_probe = server.probing() && server.in_flight() > 0;
   return servers_->usable_flags()[index] && !busy_probe &&
@@ -97,39 +98,39 @@
   return best;
 }
 
-void CandidatePicker::Draw(const std::vector<uint32_t>& from,
-                           size_t count,
-                           std::vector<uint32_t>* drawn) {
+void CandidatePicker::Sample(const std::vector<uint32_t>& from,
+                             size_t count,
+                             std::vector<uint32_t>* sampled) {
   if (from.empty()) {
     return;
   }
-  const size_t wanted = drawn->size() + count;
-  for (size_t i = 0; i < count * kDrawsPerChoice; ++i) {
+  const size_t wanted = sampled->size() + count;
+  for (size_t i = 0; i < count * kDrawsPerServer; ++i) {
     const uint32_t index = from[random_(from.size())];
-    if (MayTake(index) && !Contains(*drawn, index)) {
-      drawn->push_back(index);
+    if (IsEligible(index) && !Contains(*sampled, index)) {
+      sampled->push_back(index);
     }
-    if (drawn->size() == wanted) {
+    if (sampled->size() == wanted) {
       return;
     }
   }
   const size_t first = random_(from.size());
-  for (size_t i = 0; i < from.size() && drawn->size() < wanted; ++i) {
+  for (size_t i = 0; i < from.size() && sampled->size() < wanted; ++i) {
     const uint32_t index = from[(first + i) % from.size()];
-    if (MayTake(index) && !Contains(*drawn, index)) {
-      drawn->push_back(index);
+    if (IsEligible(index) && !Contains(*sampled, index)) {
+      sampled->push_back(index);
     }
   }
 }
 
-CandidatePicker::Candidate CandidatePicker::Weigh(TimePoint now,
-                                                  const CallShape& call,
-                                                  uint32_t index) const {
+CandidatePicker::Candidate CandidatePicker::Evaluate(TimePoint now,
+                                                     const CallShape& call,
+                                                     uint32_t index) const {
   const ServerState& server = servers_->at(index);
   const bool hit =
       options_.prefix_affinity_ && prefixes_->Holds(index, call.prefix_hash_);
-  double cost = estimator_->Expected(server, now, call, hit, 0);
-  cost *= 1 + kFailurePenalty * server.FailureShare(now);
+  double cost = estimator_->ExpectedTime(server, now, call, hit, 0);
+  cost *= 1 + kFailurePenalty * server.FailureRatio(now);
   if (options_.domain_preference_ && !server.near()) {
     cost *= kFarPenalty;
   }
@@ -139,27 +140,27 @@
 std::optional<uint32_t> CandidatePicker::PickExpectedFinish(
     TimePoint now,
     const CallShape& call) {
-  drawn_.clear();
+  sampled_.clear();
   if (options_.domain_preference_ && !servers_->near().empty()) {
-    Draw(servers_->near(), kChoices, &drawn_);
-    Draw(servers_->far(), kNearAndFarChoices - drawn_.size(), &drawn_);
+    Sample(servers_->near(), kSampledServers, &sampled_);
+    Sample(servers_->far(), kSampledNearAndFar - sampled_.size(), &sampled_);
   } else {
-    Draw(servers_->usable(), kChoices, &drawn_);
+    Sample(servers_->usable(), kSampledServers, &sampled_);
   }
-  if (drawn_.empty()) {
+  if (sampled_.empty()) {
     return std::nullopt;
   }
-  Candidate best = Weigh(now, call, drawn_.front());
+  Candidate best = Evaluate(now, call, sampled_.front());
   double load_sum = best.load_;
-  for (size_t i = 1; i < drawn_.size(); ++i) {
-    const Candidate candidate = Weigh(now, call, drawn_[i]);
+  for (size_t i = 1; i < sampled_.size(); ++i) {
+    const Candidate candidate = Evaluate(now, call, sampled_[i]);
     load_sum += candidate.load_;
     if (candidate.cost_ < best.cost_) {
       best = candidate;
     }
   }
   if (options_.prefix_affinity_ && call.prefix_hash_ != 0) {
-    const double mean_load = load_sum / static_cast<double>(drawn_.size());
+    const double mean_load = load_sum / static_cast<double>(sampled_.size());
     if (const auto index = PickByPrefix(now, call, best, mean_load)) {
       return index;
     }
@@ -174,14 +175,14 @@
   const double load_bound = options_.affinity_load_factor_ * (mean_load + 1);
   const std::optional<uint32_t> options[] = {
       prefixes_->Holder(call.prefix_hash_),
-      prefixes_->Home(call.prefix_hash_, servers_->usable_flags())};
+      prefixes_->PreferredServer(call.prefix_hash_, servers_->usable_flags())};
   for (const auto& index : options) {
-    if (!index || !MayTake(*index)) {
+    if (!index || !IsEligible(*index)) {
       continue;
     }
-    const Candidate candidate = Weigh(now, call, *index);
+    const Candidate candidate = Evaluate(now, call, *index);
     if (candidate.load_ <= load_bound &&
-        candidate.cost_ <= best.cost_ * kAffinityTolerance) {
+        candidate.cost_ <= best.cost_ * kMaxAffinityCostRatio) {
       return index;
     }
   }
--- a/src/routing/deadline_split.cc
+++ b/src/routing/deadline_split.cc
@@ -5,9 +5,9 @@
 namespace citronlane {
 namespace {
 
-/// A share is at least this multiple of the learned time: below it, slow is
-/// still usual.
-constexpr int kLeastMultiple = 3;
+/// A share is at least this multiple of the learned time, so that a call of
+/// ordinary slowness is not retried.
+constexpr int kMinShareMultiple = 3;
 
 }  // namespace
 
@@ -29,9 +29,10 @@
       static_cast<double>(own.count()) / static_cast<double>(total.count());
   const Duration even(static_cast<Duration::rep>(
       part * static_cast<double>(remaining.count())));
-  // When even the usual times do not fit, all stages give up the same part.
+  // When even the learned times do not fit, all stages are cut in proportion.
   const Duration limit = std::max(even, remaining - (total - own));
-  const Duration share = std::min(limit, std::max(even, own * kLeastMultiple));
+  const Duration share =
+      std::min(limit, std::max(even, own * kMinShareMultiple));
   return {share, limit};
 }
 
--- a/src/routing/engine_router.cc
+++ b/src/routing/engine_router.cc
@@ -9,26 +9,27 @@
 namespace citronlane {
 namespace {
 
-/// What one more running request costs the next prompt, in prompt tokens: it
-/// lengthens each step a little.
-constexpr double kTokensPerRunning = 40;
-/// A prompt of this many tokens costs each request that runs beside it as much
-/// again, and a longer one by the square: reading takes longer the more was
-/// read before, and makes the pauses between the events of others too long.
-constexpr double kLongPrompt = 8000;
-/// What reading a token again costs that another engine keeps, in tokens of
-/// waiting: what it costs users, against a request that is late.
-constexpr double kReadAgain = 4;
-/// Engines keep a part at least this long after its last use.
-constexpr Duration kKeptTime = std::chrono::seconds(15);
-/// What a fetch from another failure domain costs, in prompt tokens a megabyte.
-constexpr double kTokensPerFarMegabyte = 150;
+/// Cost of each running request for the next prompt, in prompt tokens: it
+/// lengthens each engine step.
+constexpr double kTokensPerRunningRequest = 40;
+/// A prefill of this many tokens doubles the cost of each running request, and
+/// the surcharge grows by the square: prefill slows down with the length
+/// already read, and delays the events of the requests that run beside it.
+constexpr double kLongPromptTokens = 8000;
+/// Cost of the prefill of a token that another engine has cached, in tokens of
+/// waiting: weighs the extra work, which delays other requests, against the
+/// delay of this one.
+constexpr double kDuplicatePrefillWeight = 4;
+/// Engines keep a segment at least this long after its last use.
+constexpr Duration kMinSegmentRetention = std::chrono::seconds(15);
+/// Cost of a fetch from another failure domain, in prompt tokens.
+constexpr double kTokensPerRemoteMegabyte = 150;
 constexpr double kBytesPerMegabyte = 1e6;
-/// After a failure an engine gets no new requests for this long, twice as long
-/// after each further one in a row, up to the last value.
-constexpr Duration kFirstSuspension = std::chrono::milliseconds(500);
-constexpr Duration kLongestSuspension = std::chrono::seconds(4);
-constexpr int kMostDoublings = 3;
+/// After a failure an engine gets no new requests for this long; the time
+/// doubles with each consecutive failure, up to the maximum.
+constexpr Duration kInitialSuspension = std::chrono::milliseconds(500);
+constexpr Duration kMaxSuspension = std::chrono::seconds(4);
+constexpr int kMaxDoublings = 3;
 
 uint32_t AllTokens(const EngineRouter::Call& call) {
   uint32_t tokens = 0;
@@ -38,13 +39,14 @@
   return tokens;
 }
 
-// Tokens of the last part, which no other request shares.
+// Tokens of the last segment, which no other request shares.
 uint32_t OwnTokens(const EngineRouter::Call& call) {
   return call.prompt_.empty() ? 0 : call.prompt_.back().tokens_;
 }
 
-// The last shared part names what a home keeps.
-std::string_view HomeKey(const EngineRouter::Call& call) {
+// Id of the last shared segment: the key of the preferred engine and of the
+// cache. A prompt of one segment has only that.
+std::string_view SharedSegmentId(const EngineRouter::Call& call) {
   if (call.prompt_.empty()) {
     return {};
   }
@@ -81,41 +83,41 @@
 }
 
 double EngineRouter::Cost(const Engine& engine,
-                          double reads,
-                          double again,
+                          double prefill,
+                          double penalty,
                           const Call& call) {
   const bool is_far =
       !call.near_.empty() && engine.failure_domain_ != call.near_;
   const double fetch = is_far ? static_cast<double>(call.input_bytes_) /
-                                    kBytesPerMegabyte * kTokensPerFarMegabyte
+                                    kBytesPerMegabyte * kTokensPerRemoteMegabyte
                               : 0;
-  const double length = reads / kLongPrompt;
-  return reads + again + fetch + engine.reading_tokens_ +
-         engine.running_ * kTokensPerRunning * (1 + length * length);
+  const double length = prefill / kLongPromptTokens;
+  return prefill + penalty + fetch + engine.pending_prefill_tokens_ +
+         engine.running_ * kTokensPerRunningRequest * (1 + length * length);
 }
 
-const EngineRouter::Engine* EngineRouter::HomeOf(
+const EngineRouter::Engine* EngineRouter::PreferredEngine(
     absl::Span<const Engine* const> engines,
     const Call& call) const {
-  const std::string_view key = HomeKey(call);
-  const Engine* home = nullptr;
+  const std::string_view key = SharedSegmentId(call);
+  const Engine* preferred = nullptr;
   uint64_t highest = 0;
   for (const Engine* engine : engines) {
     const uint64_t weight = RendezvousWeight(key, engine->id_);
-    if (home == nullptr || weight > highest) {
-      home = engine;
+    if (preferred == nullptr || weight > highest) {
+      preferred = engine;
       highest = weight;
     }
   }
-  return home;
+  return preferred;
 }
 
-// Whether any engine has used the call's shared part lately.
+// Whether any engine used the call's shared segment within the reuse window.
 bool EngineRouter::IsWarm(TimePoint now, const Call& call) const {
   return std::any_of(engines_.begin(), engines_.end(), [&](const auto& entry) {
-    const auto& kept = entry.second.kept_;
-    const auto used = kept.find(HomeKey(call));
-    return used != kept.end() && now - used->second <= reuse_window_;
+    const auto& last_use = entry.second.segment_last_use_;
+    const auto used = last_use.find(SharedSegmentId(call));
+    return used != last_use.end() && now - used->second <= reuse_window_;
   });
 }
 
@@ -126,32 +128,34 @@
   std::vector<const Engine*> usable;
   std::vector<const Engine*> suspended;
   for (const auto& [id, engine] : engines_) {
-    const bool is_out =
+    const bool is_excluded =
         (!call.only_in_.empty() && engine.failure_domain_ != call.only_in_) ||
         std::find(excluded.begin(), excluded.end(), id) != excluded.end();
-    if (!engine.leaving_ && !is_out) {
+    if (!engine.leaving_ && !is_excluded) {
       (engine.suspended_until_ > now ? suspended : usable).push_back(&engine);
     }
   }
-  // When all have failed, one that failed is better than none.
+  // When all are suspended, one of them is better than none.
   const auto& candidates = usable.empty() ? suspended : usable;
-  const Engine* home = HomeOf(candidates, call);
+  const Engine* preferred = PreferredEngine(candidates, call);
   const bool is_warm = call.sees_all_ && IsWarm(now, call);
   const double shared = AllTokens(call) - OwnTokens(call);
   const Engine* best = nullptr;
   double least = std::numeric_limits<double>::max();
   for (const Engine* engine : candidates) {
-    const bool is_home = engine == home;
-    const bool keeps_it =
-        call.sees_all_ ? engine->kept_.count(HomeKey(call)) != 0 : is_home;
-    const double reads = OwnTokens(call) + (keeps_it ? 0 : shared);
-    // What nobody has used lately goes home for the sake of gateways that must
-    // choose by themselves.
-    const double again = keeps_it  ? 0
-                         : is_warm ? kReadAgain * shared
-                         : is_home ? 0
-                                   : shared;
-    const double cost = Cost(*engine, reads, again, call);
+    const bool is_preferred = engine == preferred;
+    const bool is_cached =
+        call.sees_all_
+            ? engine->segment_last_use_.count(SharedSegmentId(call)) != 0
+            : is_preferred;
+    const double prefill = OwnTokens(call) + (is_cached ? 0 : shared);
+    // A segment that no engine used lately is steered to its preferred engine,
+    // where gateways that see only their own requests assume it.
+    const double penalty = is_cached      ? 0
+                           : is_warm      ? kDuplicatePrefillWeight * shared
+                           : is_preferred ? 0
+                                          : shared;
+    const double cost = Cost(*engine, prefill, penalty, call);
     if (cost < least) {
       best = engine;
       least = cost;
@@ -169,14 +173,17 @@
                           TimePoint now,
                           const Call& call) {
   Engine* engine = Find(server);
-  const std::string_view key = HomeKey(call);
+  const std::string_view key = SharedSegmentId(call);
   if (engine == nullptr || key.empty()) {
     return;
   }
-  for (auto it = engine->kept_.begin(); it != engine->kept_.end();) {
-    it = now - it->second > kKeptTime ? engine->kept_.erase(it) : std::next(it);
+  for (auto it = engine->segment_last_use_.begin();
+       it != engine->segment_last_use_.end();) {
+    it = now - it->second > kMinSegmentRetention
+             ? engine->segment_last_use_.erase(it)
+             : std::next(it);
   }
-  engine->kept_[std::string(key)] = now;
+  engine->segment_last_use_[std::string(key)] = now;
 }
 
 double EngineRouter::OnStart(std::string_view server,
@@ -186,18 +193,20 @@
   if (engine == nullptr) {
     return 0;
   }
-  const bool keeps_it = engine->kept_.count(HomeKey(call)) != 0;
-  const double reads = keeps_it ? OwnTokens(call) : AllTokens(call);
+  const bool is_cached =
+      engine->segment_last_use_.count(SharedSegmentId(call)) != 0;
+  const double prefill = is_cached ? OwnTokens(call) : AllTokens(call);
   engine->running_ += 1;
-  engine->reading_tokens_ += reads;
+  engine->pending_prefill_tokens_ += prefill;
   Expect(server, now, call);
-  return reads;
+  return prefill;
 }
 
 void EngineRouter::OnFirstEvent(std::string_view server, double tokens) {
   if (Engine* engine = Find(server)) {
-    engine->reading_tokens_ = std::max(0.0, engine->reading_tokens_ - tokens);
-    engine->failures_in_row_ = 0;
+    engine->pending_prefill_tokens_ =
+        std::max(0.0, engine->pending_prefill_tokens_ - tokens);
+    engine->consecutive_failures_ = 0;
   }
 }
 
@@ -210,12 +219,14 @@
     return;
   }
   engine->running_ = std::max(0.0, engine->running_ - 1);
-  engine->reading_tokens_ = std::max(0.0, engine->reading_tokens_ - unread);
+  engine->pending_prefill_tokens_ =
+      std::max(0.0, engine->pending_prefill_tokens_ - unread);
   if (IsFailure(outcome)) {
-    const int doublings = std::min(engine->failures_in_row_, kMostDoublings);
+    const int doublings =
+        std::min(engine->consecutive_failures_, kMaxDoublings);
     engine->suspended_until_ =
-        now + std::min(kLongestSuspension, kFirstSuspension * (1 << doublings));
-    ++engine->failures_in_row_;
+        now + std::min(kMaxSuspension, kInitialSuspension * (1 << doublings));
+    ++engine->consecutive_failures_;
   }
 }
 
--- a/src/routing/finish_estimator.cc
+++ b/src/routing/finish_estimator.cc
@@ -6,12 +6,14 @@
 namespace {
 
 constexpr double kSampleWeight = 0.02;
-/// Time assumed for a call, or a token, while nothing is known.
+/// Assumed time of a call, or a token, before the first observation.
 constexpr double kUnknownTimeUs = 1000;
-constexpr size_t kAffinitySamples = 20;
-constexpr double kLowestDiscount = 0.3;
+/// Samples of cache hits and of misses before hits count as faster.
+constexpr size_t kMinAffinitySamples = 20;
+/// Lower bound of the time of a cache hit relative to a miss.
+constexpr double kMinPrefixDiscount = 0.3;
 
-double Us(Duration duration) {
+double ToUs(Duration duration) {
   return static_cast<double>(duration.count());
 }
 
@@ -43,33 +45,35 @@
 
 double FinishEstimator::FirstByte(double load, uint32_t priority) const {
   const LoadCurve& curve = CurveOf(first_bytes_, priority);
-  // Past what was seen a call waits for the ones before it to end.
-  const double seen = curve.HighestLoad();
-  const double whole = curve.At(seen) + Streaming(seen, tokens_.value());
-  return curve.At(load, whole / (seen + 1));
+  // Beyond the highest observed load, a call waits for earlier ones to end.
+  const double highest = curve.HighestLoad();
+  const double call_time =
+      curve.At(highest) + Streaming(highest, tokens_.value());
+  return curve.At(load, call_time / (highest + 1));
 }
 
-double FinishEstimator::Usual(double load, const CallShape& call) const {
+double FinishEstimator::TypicalTime(double load, const CallShape& call) const {
   if (samples_ == 0) {
     return kUnknownTimeUs * (load + 1) * (1 + call.expected_tokens_);
   }
   if (call.expected_tokens_ == 0) {
-    return CurveOf(whole_, call.priority_).At(load);
+    return CurveOf(call_times_, call.priority_).At(load);
   }
   return FirstByte(load, call.priority_) +
          Streaming(load, call.expected_tokens_ * token_ratio_.value());
 }
 
-double FinishEstimator::Expected(const ServerState& server,
-                                 TimePoint now,
-                                 const CallShape& call,
-                                 bool prefix_hit,
-                                 double planned) const {
-  const double usual = Usual(server.Load(now) + planned, call);
+double FinishEstimator::ExpectedTime(const ServerState& server,
+                                     TimePoint now,
+                                     const CallShape& call,
+                                     bool prefix_hit,
+                                     double planned) const {
+  const double usual = TypicalTime(server.Load(now) + planned, call);
   double discount = 1;
-  if (prefix_hit && hit_.count() >= kAffinitySamples &&
-      miss_.count() >= kAffinitySamples) {
-    discount = std::clamp(hit_.value() / miss_.value(), kLowestDiscount, 1.0);
+  if (prefix_hit && hit_.count() >= kMinAffinitySamples &&
+      miss_.count() >= kMinAffinitySamples) {
+    discount =
+        std::clamp(hit_.value() / miss_.value(), kMinPrefixDiscount, 1.0);
   }
   return usual * server.SlowFactor(now) * discount;
 }
@@ -82,16 +86,16 @@
          server.SlowFactor(now);
 }
 
-void FinishEstimator::LearnUsual(const OutstandingCall& started,
-                                 double latency,
-                                 uint32_t tokens,
-                                 double slow) {
+void FinishEstimator::LearnTypicalTime(const OutstandingCall& started,
+                                       double latency,
+                                       uint32_t tokens,
+                                       double slow) {
   if (tokens == 0) {
-    whole_[started.priority_].Add(started.load_, latency / slow);
+    call_times_[started.priority_].Add(started.load_, latency / slow);
     return;
   }
   if (started.first_byte_ > Duration::zero()) {
-    const double interval = (latency - Us(started.first_byte_)) / tokens;
+    const double interval = (latency - ToUs(started.first_byte_)) / tokens;
     intervals_.Add(started.load_, interval / slow);
     interval_.Add(interval);
   }
@@ -104,15 +108,15 @@
                             uint32_t tokens,
                             const CallShape& call) {
   const double usual =
-      tokens == 0 ? CurveOf(whole_, started.priority_).At(started.load_)
+      tokens == 0 ? CurveOf(call_times_, started.priority_).At(started.load_)
                   : FirstByte(started.load_, started.priority_) +
                         Streaming(started.load_, tokens);
   const double slow = server->SlowFactor(now);
   if (usual > 0) {
-    (started.prefix_hit_ ? hit_ : miss_).Add(Us(latency) / usual);
-    server->AddSlowSample(now, Us(latency) / usual);
+    (started.prefix_hit_ ? hit_ : miss_).Add(ToUs(latency) / usual);
+    server->AddSlowSample(now, ToUs(latency) / usual);
   }
-  LearnUsual(started, Us(latency), tokens, std::max(1.0, slow));
+  LearnTypicalTime(started, ToUs(latency), tokens, std::max(1.0, slow));
   if (call.expected_tokens_ > 0) {
     token_ratio_.Add(static_cast<double>(tokens) / call.expected_tokens_);
     tokens_.Add(tokens);
@@ -125,7 +129,7 @@
                                       const OutstandingCall& started,
                                       Duration latency) {
   if (started.expected_ > Duration::zero()) {
-    const double slow = Us(latency) / Us(started.expected_);
+    const double slow = ToUs(latency) / ToUs(started.expected_);
     if (slow > server->SlowFactor(now)) {
       server->AddSlowSample(now, slow);
     }
@@ -134,14 +138,14 @@
 
 void FinishEstimator::LearnFirstByte(const OutstandingCall& started,
                                      Duration latency) {
-  first_bytes_[started.priority_].Add(started.load_, Us(latency));
+  first_bytes_[started.priority_].Add(started.load_, ToUs(latency));
   ++first_byte_samples_;
 }
 
 void FinishEstimator::Scale(double factor) {
   intervals_.Scale(factor);
   for (size_t i = 0; i < kCallPriorities; ++i) {
-    whole_[i].Scale(factor);
+    call_times_[i].Scale(factor);
     first_bytes_[i].Scale(factor);
   }
 }
--- a/src/routing/hedge_policy.cc
+++ b/src/routing/hedge_policy.cc
@@ -4,8 +4,8 @@
 namespace {
 
 constexpr double kBudgetBurst = 5;
-/// A pool under more pressure is not given second calls.
-constexpr double kHighestPressure = 0.5;
+/// A pool under more pressure gets no hedges.
+constexpr double kMaxPressure = 0.5;
 
 }  // namespace
 
@@ -31,8 +31,8 @@
   if (*query.expected_ >= query.remaining_) {
     return HedgeOutcome::kNoTime;
   }
-  // Where any server would take as long as the slow one, the pool is slow.
-  if (query.pressure_ > kHighestPressure || *query.expected_ > *query.delay_) {
+  // If a second call would take as long as the slow one, the pool is slow.
+  if (query.pressure_ > kMaxPressure || *query.expected_ > *query.delay_) {
     return HedgeOutcome::kOverloaded;
   }
   if (query.spend_tight_) {
--- a/src/routing/latency_window.cc
+++ b/src/routing/latency_window.cc
@@ -7,29 +7,29 @@
 namespace {
 
 constexpr unsigned kBins = 256;
-constexpr double kShortestUs = 50;
-constexpr double kLongestUs = 600e6;
+constexpr double kMinLatencyUs = 50;
+constexpr double kMaxLatencyUs = 600e6;
 
 }  // namespace
 
 LatencyWindow::Histogram LatencyWindow::MakeHistogram() {
-  return Histogram(std::make_tuple(Axis(kBins, kShortestUs, kLongestUs)),
+  return Histogram(std::make_tuple(Axis(kBins, kMinLatencyUs, kMaxLatencyUs)),
                    boost::histogram::dense_storage<double>());
 }
 
 LatencyWindow::LatencyWindow(Duration window)
-    : window_(window), current_(MakeHistogram()), last_(MakeHistogram()) {}
+    : window_(window), current_(MakeHistogram()), previous_(MakeHistogram()) {}
 
 void LatencyWindow::Rotate(TimePoint now) {
   if (now < window_end_) {
     return;
   }
   if (now < window_end_ + window_) {
-    std::swap(last_, current_);
-    last_count_ = current_count_;
+    std::swap(previous_, current_);
+    previous_count_ = current_count_;
   } else {
-    last_.reset();
-    last_count_ = 0;
+    previous_.reset();
+    previous_count_ = 0;
   }
   current_.reset();
   current_count_ = 0;
@@ -39,12 +39,12 @@
 void LatencyWindow::Add(TimePoint now, Duration latency) {
   Rotate(now);
   const auto us = static_cast<double>(latency.count());
-  current_(std::clamp(us, kShortestUs, kLongestUs - 1));
+  current_(std::clamp(us, kMinLatencyUs, kMaxLatencyUs - 1));
   ++current_count_;
 }
 
 size_t LatencyWindow::count() const {
-  return current_count_ + last_count_;
+  return current_count_ + previous_count_;
 }
 
 std::optional<Duration> LatencyWindow::Quantile(double quantile,
@@ -57,14 +57,14 @@
   const Axis& axis = current_.axis();
   double seen = 0;
   for (int bin = 0; bin < static_cast<int>(kBins); ++bin) {
-    const double in_bin = current_.at(bin) + last_.at(bin);
+    const double in_bin = current_.at(bin) + previous_.at(bin);
     if (in_bin > 0 && seen + in_bin >= wanted) {
       const double part = std::clamp((wanted - seen) / in_bin, 0.0, 1.0);
       return Duration(static_cast<Duration::rep>(axis.value(bin + part)));
     }
     seen += in_bin;
   }
-  return Duration(static_cast<Duration::rep>(kLongestUs));
+  return Duration(static_cast<Duration::rep>(kMaxLatencyUs));
 }
 
 }  // namespace citronlane
--- a/src/routing/load_curve.cc
+++ b/src/routing/load_curve.cc
@@ -10,20 +10,21 @@
 constexpr double kSampleWeight = 0.05;
 
 /// Lower ends of the buckets, in calls.
-constexpr std::array<double, 19> kLoads = {
+constexpr std::array<double, 19> kBucketLowerBounds = {
     0, 1, 2, 3, 4, 6, 8, 12, 16, 24, 32, 48, 64, 96, 128, 192, 256, 384, 512};
 
 size_t BucketOf(double load) {
-  const auto* above = std::upper_bound(kLoads.begin(), kLoads.end(), load);
+  const auto* above = std::upper_bound(kBucketLowerBounds.begin(),
+                                       kBucketLowerBounds.end(), load);
   return static_cast<size_t>(
-      std::max<std::ptrdiff_t>(above - kLoads.begin() - 1, 0));
+      std::max<std::ptrdiff_t>(above - kBucketLowerBounds.begin() - 1, 0));
 }
 
 }  // namespace
 
 LoadCurve::LoadCurve()
-    : times_(kLoads.size(), DecayedMean(kSampleWeight)),
-      loads_(kLoads.size(), DecayedMean(kSampleWeight)) {}
+    : times_(kBucketLowerBounds.size(), DecayedMean(kSampleWeight)),
+      loads_(kBucketLowerBounds.size(), DecayedMean(kSampleWeight)) {}
 
 void LoadCurve::Add(double load, double time) {
   const size_t bucket = BucketOf(load);
@@ -35,7 +36,7 @@
 double LoadCurve::At(double load, double per_call) const {
   const DecayedMean* low = nullptr;
   double low_load = 0;
-  for (size_t i = 0; i < kLoads.size(); ++i) {
+  for (size_t i = 0; i < kBucketLowerBounds.size(); ++i) {
     if (times_[i].count() == 0) {
       continue;
     }
--- a/src/routing/outlier_detector.cc
+++ b/src/routing/outlier_detector.cc
@@ -10,13 +10,13 @@
 
 constexpr int kConsecutiveFailures = 3;
 constexpr size_t kMinOutcomes = 5;
-constexpr double kFailureShare = 0.5;
-/// A server is no outlier when the median of its peers fails this much.
-constexpr double kPeersFailing = 0.25;
-constexpr double kSlowMultiple = 4;
+constexpr double kMinFailureRatio = 0.5;
+/// With a higher median over the pool, failing servers are no outliers.
+constexpr double kMaxPeerFailureRatio = 0.25;
+constexpr double kSlowOutlierFactor = 4;
 constexpr size_t kMinSlowSamples = 4;
-constexpr Duration kFirstEjection = std::chrono::seconds(2);
-constexpr int kMostDoublings = 5;
+constexpr Duration kInitialEjection = std::chrono::seconds(2);
+constexpr int kMaxDoublings = 5;
 
 double Median(std::vector<double> values) {
   if (values.empty()) {
@@ -28,45 +28,47 @@
   return *middle;
 }
 
-double MedianFailureShare(TimePoint now,
+double MedianFailureRatio(TimePoint now,
                           absl::Span<const ServerState> servers) {
   std::vector<double> shares;
   shares.reserve(servers.size());
   for (const ServerState& server : servers) {
-    shares.push_back(server.FailureShare(now));
+    shares.push_back(server.FailureRatio(now));
   }
   return Median(std::move(shares));
 }
 
-bool FailsAlone(const ServerState& server,
-                TimePoint now,
-                double peers_failure_share) {
-  if (peers_failure_share >= kPeersFailing) {
+bool IsFailureOutlier(const ServerState& server,
+                      TimePoint now,
+                      double peer_failure_ratio) {
+  if (peer_failure_ratio >= kMaxPeerFailureRatio) {
     return false;
   }
   return server.consecutive_failures() >= kConsecutiveFailures ||
          (server.outcomes() >= kMinOutcomes &&
-          server.FailureShare(now) >= kFailureShare);
+          server.FailureRatio(now) >= kMinFailureRatio);
 }
 
-bool IsSlowAlone(const ServerState& server, TimePoint now, double median) {
-  const bool known = server.slow_samples() >= kMinSlowSamples ||
-                     server.Overdue(now) >= 2 * kSlowMultiple * median;
-  return known && server.SlowFactor(now) >= kSlowMultiple * median;
+bool IsSlowOutlier(const ServerState& server, TimePoint now, double median) {
+  const bool known =
+      server.slow_samples() >= kMinSlowSamples ||
+      server.OverdueRatio(now) >= 2 * kSlowOutlierFactor * median;
+  return known && server.SlowFactor(now) >= kSlowOutlierFactor * median;
 }
 
 TimePoint EjectionEnd(const ServerState& server, TimePoint now) {
-  const int doublings = std::min(server.ejections(), kMostDoublings);
-  return now + kFirstEjection * (1 << doublings);
+  const int doublings = std::min(server.ejections(), kMaxDoublings);
+  return now + kInitialEjection * (1 << doublings);
 }
 
 }  // namespace
 
-OutlierDetector::OutlierDetector(double max_ejected)
-    : max_ejected_(max_ejected) {}
+OutlierDetector::OutlierDetector(double max_ejected_fraction)
+    : max_ejected_fraction_(max_ejected_fraction) {}
 
-double OutlierDetector::MedianSlow(TimePoint now,
-                                   absl::Span<const ServerState> servers) {
+double OutlierDetector::MedianSlowFactor(
+    TimePoint now,
+    absl::Span<const ServerState> servers) {
   std::vector<double> factors;
   factors.reserve(servers.size());
   for (const ServerState& server : servers) {
@@ -77,26 +79,26 @@
 
 bool OutlierDetector::Eject(TimePoint now,
                             absl::Span<ServerState> servers) const {
-  const double median_slow = MedianSlow(now, servers);
-  const double median_failures = MedianFailureShare(now, servers);
+  const double median_slow = MedianSlowFactor(now, servers);
+  const double median_failures = MedianFailureRatio(now, servers);
   size_t ejected = 0;
   std::vector<std::pair<double, ServerState*>> outliers;
   for (ServerState& server : servers) {
     if (server.IsEjected(now)) {
       ++ejected;
-    } else if (FailsAlone(server, now, median_failures) ||
-               IsSlowAlone(server, now, median_slow)) {
-      const double badness =
-          server.SlowFactor(now) / median_slow + server.FailureShare(now);
-      outliers.emplace_back(badness, &server);
+    } else if (IsFailureOutlier(server, now, median_failures) ||
+               IsSlowOutlier(server, now, median_slow)) {
+      const double severity =
+          server.SlowFactor(now) / median_slow + server.FailureRatio(now);
+      outliers.emplace_back(severity, &server);
     }
   }
-  const auto allowed =
-      static_cast<size_t>(max_ejected_ * static_cast<double>(servers.size()));
+  const auto allowed = static_cast<size_t>(max_ejected_fraction_ *
+                                           static_cast<double>(servers.size()));
   std::sort(outliers.begin(), outliers.end(),
             [](const auto& a, const auto& b) { return a.first > b.first; });
   bool any = false;
-  for (const auto& [badness, server] : outliers) {
+  for (const auto& [severity, server] : outliers) {
     if (ejected >= allowed) {
       break;
     }
--- a/src/routing/pool_router.cc
+++ b/src/routing/pool_router.cc
@@ -21,25 +21,26 @@
 constexpr size_t kPrefixCapacity = 65536;
 constexpr size_t kMinQuantileSamples = 20;
 constexpr size_t kMinEstimateSamples = 10;
-/// Latencies of servers slower than this are left out of the quantiles: a
-/// straggler must not move the time after which it is hedged.
-constexpr double kTypicalSlow = 2;
-constexpr double kStallIntervals = 20;
-constexpr Duration kShortestStall = std::chrono::milliseconds(250);
-/// Failed calls in a row after which a pool counts as down.
-constexpr int kDownFailures = 10;
-/// A pool without calls for this long is tried again.
-constexpr Duration kDownMemory = std::chrono::seconds(2);
+/// Latencies of servers with a higher slow factor are left out of the
+/// quantiles: a straggler must not raise the hedge delay of its pool.
+constexpr double kMaxTypicalSlowFactor = 2;
+/// Typical token intervals without a token after which a stream is stalled.
+constexpr double kStallTokenIntervals = 20;
+constexpr Duration kMinStallTimeout = std::chrono::milliseconds(250);
+/// Consecutive failed calls after which a pool counts as down.
+constexpr int kDownConsecutiveFailures = 10;
+/// A pool in which no call has ended for this long does not count as down.
+constexpr Duration kDownExpiry = std::chrono::seconds(2);
 constexpr Duration kPeerExpiry = std::chrono::seconds(3);
-/// Servers looked at for an estimate.
-constexpr size_t kEstimateServers = 16;
+/// Servers sampled for an estimate.
+constexpr size_t kEstimateSampleServers = 16;
 
 Duration FromUs(double us) {
   return Duration(static_cast<Duration::rep>(us));
 }
 
-/// Mean of the better of two servers drawn at random.
-double MeanOfBetter(std::vector<double> times) {
+/// Expected minimum of two different entries of `times` chosen at random.
+double ExpectedMinOfTwo(std::vector<double> times) {
   std::sort(times.begin(), times.end());
   const size_t n = times.size();
   if (n == 1) {
@@ -74,24 +75,25 @@
     }
   }
 
-  /// Number of the gateway that was heard of now.
-  uint32_t GatewayNumber(std::string_view gateway, TimePoint now) {
+  /// Records that the gateway sent something at `now`; returns its number.
+  uint32_t RecordGatewayContact(std::string_view gateway, TimePoint now) {
     const auto next = static_cast<uint32_t>(gateways_.size());
     const uint32_t number =
         gateways_.emplace(std::string(gateway), next).first->second;
-    heard_.resize(gateways_.size());
-    heard_[number] = now;
+    gateway_last_contact_.resize(gateways_.size());
+    gateway_last_contact_[number] = now;
     return number;
   }
 
-  /// Calls `time` for an even sample of the usable servers.
+  /// Calls `time` for an evenly spaced sample of the usable servers, and
+  /// returns the expected minimum of two.
   template <typename Time>
   std::optional<Duration> Estimate(TimePoint now, const Time& time) const {
     const std::vector<uint32_t>& usable = servers_.usable();
     if (usable.empty()) {
       return std::nullopt;
     }
-    const size_t count = std::min(usable.size(), kEstimateServers);
+    const size_t count = std::min(usable.size(), kEstimateSampleServers);
     const auto first = static_cast<size_t>(now.time_since_epoch().count());
     std::vector<const ServerState*> sample;
     sample.reserve(count);
@@ -105,16 +107,16 @@
     for (const ServerState* server : sample) {
       times.push_back(time(*server, planned));
     }
-    return FromUs(MeanOfBetter(std::move(times)));
+    return FromUs(ExpectedMinOfTwo(std::move(times)));
   }
 
-  /// Calls on their way to each server, by all gateways: the others are taken
-  /// to plan as many as this one.
+  /// Planned calls of all gateways for each usable server: the other gateways
+  /// are assumed to plan as many as this one.
   double PlannedPerServer(TimePoint now) const {
-    const auto heard =
-        std::count_if(heard_.begin(), heard_.end(),
-                      [now](TimePoint at) { return now - at < kPeerExpiry; });
-    return std::max(0, planned_) * (1 + static_cast<double>(heard)) /
+    const auto recent = std::count_if(
+        gateway_last_contact_.begin(), gateway_last_contact_.end(),
+        [now](TimePoint at) { return now - at < kPeerExpiry; });
+    return std::max(0, planned_) * (1 + static_cast<double>(recent)) /
            static_cast<double>(servers_.usable().size());
   }
 
@@ -126,12 +128,12 @@
   LatencyWindow first_bytes_;
   CandidatePicker picker_;
   std::unordered_map<std::string, uint32_t> gateways_;
-  /// When each gateway was last heard of.
-  std::vector<TimePoint> heard_;
+  /// Last contact with each gateway, by its number.
+  std::vector<TimePoint> gateway_last_contact_;
   size_t in_flight_ = 0;
   int planned_ = 0;
-  /// Failed calls since the last success, over the whole pool.
-  int failures_in_row_ = 0;
+  /// Failed calls since the last success, over the entire pool.
+  int consecutive_failures_ = 0;
   TimePoint outcome_at_{};
 };
 
@@ -157,12 +159,12 @@
   const auto index = impl_->picker_.Pick(now, call, excluded);
   if (!index) {
     error->message_ = impl_->servers_.usable().empty()
-                          ? "every server of the pool is leaving or ejected"
-                          : "every usable server was tried";
+                          ? "every server of the pool is draining or ejected"
+                          : "every usable server is excluded or being probed";
     return std::nullopt;
   }
   const ServerState& server = impl_->servers_.at(*index);
-  const double us = impl_->estimator_.Expected(
+  const double us = impl_->estimator_.ExpectedTime(
       server, now, call, impl_->prefixes_.Holds(*index, call.prefix_hash_), 0);
   return ServerChoice{server.id(), FromUs(us)};
 }
@@ -179,7 +181,7 @@
     return;
   }
   ServerState& state = impl_->servers_.at(*index);
-  const double usual = impl_->estimator_.Usual(state.Load(now), call);
+  const double usual = impl_->estimator_.TypicalTime(state.Load(now), call);
   const bool hit = impl_->prefixes_.Holds(*index, call.prefix_hash_);
   const auto priority = std::min<uint32_t>(call.priority_, kCallPriorities - 1);
   state.StartCall(now, FromUs(usual), priority, hit);
@@ -194,8 +196,8 @@
     return;
   }
   ServerState& state = impl_->servers_.at(*index);
-  const OutstandingCall* started = state.NoteFirstByte(now, latency);
-  if (started == nullptr || state.SlowFactor(now) > kTypicalSlow) {
+  const OutstandingCall* started = state.RecordFirstByte(now, latency);
+  if (started == nullptr || state.SlowFactor(now) > kMaxTypicalSlowFactor) {
     return;
   }
   impl_->estimator_.LearnFirstByte(*started, latency);
@@ -218,10 +220,11 @@
     return;
   }
   --impl_->in_flight_;
-  state.CountOutcome(now, outcome);
+  state.RecordOutcome(now, outcome);
   if (outcome != CallOutcome::kCancelled) {
     const bool failed = outcome != CallOutcome::kSuccess;
-    impl_->failures_in_row_ = failed ? impl_->failures_in_row_ + 1 : 0;
+    impl_->consecutive_failures_ =
+        failed ? impl_->consecutive_failures_ + 1 : 0;
     impl_->outcome_at_ = now;
   }
   if (outcome == CallOutcome::kCancelled || outcome == CallOutcome::kTimeout) {
@@ -231,7 +234,7 @@
     return;
   }
   impl_->estimator_.Learn(&state, now, *started, latency, tokens, call);
-  if (state.SlowFactor(now) <= kTypicalSlow) {
+  if (state.SlowFactor(now) <= kMaxTypicalSlowFactor) {
     impl_->latencies_.Add(now, latency);
   }
   if (call.prefix_hash_ != 0) {
@@ -253,8 +256,8 @@
                             TimePoint now,
                             double in_flight) {
   if (const auto index = impl_->servers_.Find(server)) {
-    impl_->servers_.at(*index).SetPeerLoad(impl_->GatewayNumber(gateway, now),
-                                           now, in_flight);
+    impl_->servers_.at(*index).SetPeerLoad(
+        impl_->RecordGatewayContact(gateway, now), now, in_flight);
   }
 }
 
@@ -271,7 +274,7 @@
   if (!impl_->servers_.MarkAlive(server, incarnation, now)) {
     return;
   }
-  impl_->prefixes_.Forget(*impl_->servers_.Find(server));
+  impl_->prefixes_.Invalidate(*impl_->servers_.Find(server));
   impl_->estimator_.Scale(impl_->servers_.Maintain(now));
 }
 
@@ -301,7 +304,7 @@
     return std::nullopt;
   }
   return impl_->Estimate(now, [&](const ServerState& server, double planned) {
-    return impl_->estimator_.Expected(server, now, call, false, planned);
+    return impl_->estimator_.ExpectedTime(server, now, call, false, planned);
   });
 }
 
@@ -324,12 +327,12 @@
   if (interval <= 0) {
     return std::nullopt;
   }
-  return std::max(kShortestStall, FromUs(interval * kStallIntervals));
+  return std::max(kMinStallTimeout, FromUs(interval * kStallTokenIntervals));
 }
 
 bool PoolRouter::IsDown(TimePoint now) const {
-  const bool fresh = now - impl_->outcome_at_ < kDownMemory;
-  return fresh && impl_->failures_in_row_ >= kDownFailures;
+  const bool fresh = now - impl_->outcome_at_ < kDownExpiry;
+  return fresh && impl_->consecutive_failures_ >= kDownConsecutiveFailures;
 }
 
 size_t PoolRouter::usable_servers(TimePoint /*now*/) const {
--- a/src/routing/prefix_index.cc
+++ b/src/routing/prefix_index.cc
@@ -7,8 +7,10 @@
 namespace citronlane {
 namespace {
 
-constexpr uint64_t kPointsPerServer = 16;
-constexpr size_t kHoldersPerPrefix = 4;
+constexpr uint64_t kRingPointsPerServer = 16;
+constexpr size_t kMaxHoldersPerPrefix = 4;
+/// Events that may be reordered in transit; a sequence number further back
+/// means that the server restarted.
 constexpr uint64_t kReorderWindow = 64;
 
 }  // namespace
@@ -16,14 +18,14 @@
 PrefixIndex::PrefixIndex(size_t capacity) : capacity_(capacity) {}
 
 void PrefixIndex::Reset(absl::Span<const std::string> servers) {
-  events_.assign(servers.size(), Events());
-  beliefs_.clear();
+  events_.assign(servers.size(), EventState());
+  holders_.clear();
   order_.clear();
   next_ = 0;
   ring_.clear();
   for (uint32_t server = 0; server < servers.size(); ++server) {
     const std::string& id = servers[server];
-    for (uint64_t point = 0; point < kPointsPerServer; ++point) {
+    for (uint64_t point = 0; point < kRingPointsPerServer; ++point) {
       ring_.push_back({XXH64(id.data(), id.size(), point), server});
     }
   }
@@ -36,63 +38,63 @@
                           uint64_t sequence,
                           uint64_t prefix,
                           bool held) {
-  Events& events = events_[server];
-  // A restarted server counts from 1 again; only near events come out of order.
+  EventState& events = events_[server];
+  // A restarted server counts from 1 again.
   const bool restarted = (sequence == 1 && events.sequence_ > 0) ||
                          sequence + kReorderWindow < events.sequence_;
   if (sequence <= events.sequence_ && !restarted) {
     return;
   }
   if (restarted || sequence != events.sequence_ + 1) {
-    Forget(server);
+    Invalidate(server);
   }
   events.sequence_ = sequence;
   if (held) {
-    Remember(server, prefix);
+    AddHolder(server, prefix);
   } else {
-    Drop(server, prefix);
+    RemoveHolder(server, prefix);
   }
 }
 
 void PrefixIndex::OnStored(uint32_t server, uint64_t prefix) {
-  Remember(server, prefix);
+  AddHolder(server, prefix);
 }
 
-void PrefixIndex::Forget(uint32_t server) {
+void PrefixIndex::Invalidate(uint32_t server) {
   ++events_[server].epoch_;
 }
 
-bool PrefixIndex::IsCurrent(const Belief& belief) const {
-  return belief.epoch_ == events_[belief.server_].epoch_;
+bool PrefixIndex::IsCurrent(const HolderRecord& record) const {
+  return record.epoch_ == events_[record.server_].epoch_;
 }
 
 bool PrefixIndex::Holds(uint32_t server, uint64_t prefix) const {
-  const auto found = beliefs_.find(prefix);
-  if (found == beliefs_.end()) {
+  const auto found = holders_.find(prefix);
+  if (found == holders_.end()) {
     return false;
   }
   return std::any_of(found->second.begin(), found->second.end(),
-                     [&](const Belief& belief) {
-                       return belief.server_ == server && IsCurrent(belief);
+                     [&](const HolderRecord& record) {
+                       return record.server_ == server && IsCurrent(record);
                      });
 }
 
 std::optional<uint32_t> PrefixIndex::Holder(uint64_t prefix) const {
-  const auto found = beliefs_.find(prefix);
-  if (found == beliefs_.end()) {
+  const auto found = holders_.find(prefix);
+  if (found == holders_.end()) {
     return std::nullopt;
   }
   const auto& holders = found->second;
-  const auto last =
-      std::find_if(holders.rbegin(), holders.rend(),
-                   [&](const Belief& belief) { return IsCurrent(belief); });
+  const auto last = std::find_if(
+      holders.rbegin(), holders.rend(),
+      [&](const HolderRecord& record) { return IsCurrent(record); });
   if (last == holders.rend()) {
     return std::nullopt;
   }
   return last->server_;
 }
 
-std::optional<uint32_t> PrefixIndex::Home(
+std::optional<uint32_t> PrefixIndex::PreferredServer(
     uint64_t prefix,
     const std::vector<bool>& usable) const {
   const auto first = std::lower_bound(
@@ -108,39 +110,40 @@
   return std::nullopt;
 }
 
-void PrefixIndex::Remember(uint32_t server, uint64_t prefix) {
-  std::vector<Belief>& holders = beliefs_[prefix];
+void PrefixIndex::AddHolder(uint32_t server, uint64_t prefix) {
+  std::vector<HolderRecord>& holders = holders_[prefix];
   if (holders.empty()) {
     if (order_.size() < capacity_) {
       order_.push_back(prefix);
     } else {
-      beliefs_.erase(order_[next_]);
+      holders_.erase(order_[next_]);
       order_[next_] = prefix;
       next_ = (next_ + 1) % capacity_;
     }
   }
-  std::vector<Belief>& kept = beliefs_[prefix];
+  std::vector<HolderRecord>& kept = holders_[prefix];
   kept.erase(std::remove_if(kept.begin(), kept.end(),
-                            [&](const Belief& belief) {
-                              return belief.server_ == server ||
-                                     !IsCurrent(belief);
+                            [&](const HolderRecord& record) {
+                              return record.server_ == server ||
+                                     !IsCurrent(record);
                             }),
              kept.end());
-  if (kept.size() == kHoldersPerPrefix) {
+  if (kept.size() == kMaxHoldersPerPrefix) {
     kept.erase(kept.begin());
   }
   kept.push_back({server, events_[server].epoch_});
 }
 
-void PrefixIndex::Drop(uint32_t server, uint64_t prefix) {
-  const auto found = beliefs_.find(prefix);
-  if (found == beliefs_.end()) {
+void PrefixIndex::RemoveHolder(uint32_t server, uint64_t prefix) {
+  const auto found = holders_.find(prefix);
+  if (found == holders_.end()) {
     return;
   }
-  for (Belief& belief : found->second) {
-    if (belief.server_ == server) {
-      // An epoch that never comes: the entry stays for the order of age.
-      belief.epoch_ = UINT64_MAX;
+  for (HolderRecord& record : found->second) {
+    if (record.server_ == server) {
+      // An epoch that is never reached invalidates the record. The entry of the
+      // prefix stays, since order_ still refers to it.
+      record.epoch_ = UINT64_MAX;
     }
   }
 }
--- a/src/routing/repeat_budget.cc
+++ b/src/routing/repeat_budget.cc
@@ -5,25 +5,25 @@
 namespace citronlane {
 namespace {
 
-/// Part of the bound that is used. The rest covers repeats that arrive in a
+/// Fraction of the bound that is used. The rest covers repeats that arrive in a
 /// later window than they were sent in, and nodes that are not known yet.
-constexpr double kUsedPart = 0.75;
+constexpr double kUsedFraction = 0.75;
 
 }  // namespace
 
 RepeatBudget::RepeatBudget(const Options& options) : options_(options) {}
 
 void RepeatBudget::OnFirst(TimePoint now) {
-  Forget(now);
+  Expire(now);
   first_.push_back(now);
 }
 
 bool RepeatBudget::TryTake(TimePoint now, size_t nodes) {
-  Forget(now);
+  Expire(now);
   const double share =
       options_.extra_ / static_cast<double>(std::max<size_t>(1, nodes));
   const double bound =
-      kUsedPart *
+      kUsedFraction *
       (options_.ratio_ * static_cast<double>(first_.size()) + share);
   if (static_cast<double>(repeats_.size() + 1) > bound) {
     return false;
@@ -33,11 +33,11 @@
 }
 
 size_t RepeatBudget::repeats(TimePoint now) {
-  Forget(now);
+  Expire(now);
   return repeats_.size();
 }
 
-void RepeatBudget::Forget(TimePoint now) {
+void RepeatBudget::Expire(TimePoint now) {
   for (auto* times : {&first_, &repeats_}) {
     while (!times->empty() && now - times->front() >= options_.window_) {
       times->pop_front();
--- a/src/routing/retry_policy.cc
+++ b/src/routing/retry_policy.cc
@@ -8,11 +8,12 @@
 
 constexpr double kBudgetRatio = 0.1;
 constexpr double kBudgetBurst = 10;
-constexpr uint32_t kMostAttempts = 3;
-constexpr Duration kFirstBackoff = std::chrono::milliseconds(10);
-constexpr Duration kLongestBackoff = std::chrono::milliseconds(500);
+/// Calls for one stage, the first one included.
+constexpr uint32_t kMaxAttempts = 3;
+constexpr Duration kInitialBackoff = std::chrono::milliseconds(10);
+constexpr Duration kMaxBackoff = std::chrono::milliseconds(500);
 
-RetryOutcome RetryFor(CallOutcome outcome) {
+RetryOutcome RetryOutcomeFor(CallOutcome outcome) {
   switch (outcome) {
     case CallOutcome::kConnectFailed:
       return RetryOutcome::kAfterConnectFailed;
@@ -53,15 +54,15 @@
 }
 
 Duration RetryPolicy::Backoff(uint32_t attempts) {
-  const uint32_t doublings = std::min(attempts, kMostAttempts) - 1;
+  const uint32_t doublings = std::min(attempts, kMaxAttempts) - 1;
   const Duration longest =
-      std::min(kFirstBackoff * (1U << doublings), kLongestBackoff);
+      std::min(kInitialBackoff * (1U << doublings), kMaxBackoff);
   const auto bound = static_cast<uint64_t>(longest.count());
   return Duration(static_cast<Duration::rep>(random_(bound)));
 }
 
 RetryOutcome RetryPolicy::Check(const RetryQuery& query, Duration backoff) {
-  const RetryOutcome granted = RetryFor(query.outcome_);
+  const RetryOutcome granted = RetryOutcomeFor(query.outcome_);
   if (granted == RetryOutcome::kNotFailed) {
     return granted;
   }
@@ -70,7 +71,7 @@
   if (query.non_idempotent_ && verdict != Verdict::kNotRun) {
     return RetryOutcome::kMayHaveRun;
   }
-  if (query.attempts_ >= kMostAttempts) {
+  if (query.attempts_ >= kMaxAttempts) {
     return RetryOutcome::kTooManyAttempts;
   }
   const Duration expected = query.expected_.value_or(Duration::zero());
--- a/src/routing/server_state.cc
+++ b/src/routing/server_state.cc
@@ -9,25 +9,26 @@
 
 constexpr double kFailureWeight = 0.2;
 constexpr double kSlowWeight = 0.25;
-constexpr double kLowestSlow = 0.2;
-constexpr double kHighestSlow = 50;
+constexpr double kMinSlowFactor = 0.2;
+constexpr double kMaxSlowFactor = 50;
 /// Half-life of evidence against a server, while none is added.
 constexpr Duration kSlowHalfLife = std::chrono::seconds(10);
 constexpr Duration kFailureHalfLife = std::chrono::seconds(5);
-/// Time constant by which a load report gives way to the peers' figures.
-constexpr Duration kReportFade = std::chrono::seconds(1);
+/// Time constant of the decay of a load report, after which the peers' loads
+/// count.
+constexpr Duration kReportTimeConstant = std::chrono::seconds(1);
 constexpr Duration kPeerExpiry = std::chrono::seconds(3);
-/// Failures below this make earlier ejections forgotten.
-constexpr double kHealthyFailures = 0.1;
-/// What makes a server worth comparing with its peers.
-constexpr double kSuspectFailures = 0.3;
-constexpr double kSuspectSlow = 2;
+/// Below this failure ratio the count of earlier ejections is reset.
+constexpr double kHealthyFailureRatio = 0.1;
+/// From these values on, a server is compared with its peers.
+constexpr double kSuspectFailureRatio = 0.3;
+constexpr double kSuspectSlowFactor = 2;
 
 double Ratio(Duration part, Duration whole) {
   return static_cast<double>(part.count()) / static_cast<double>(whole.count());
 }
 
-double Fade(Duration age, Duration half_life) {
+double DecayFactor(Duration age, Duration half_life) {
   return std::exp2(-Ratio(age, half_life));
 }
 
@@ -62,8 +63,8 @@
       });
 }
 
-const OutstandingCall* ServerState::NoteFirstByte(TimePoint now,
-                                                  Duration latency) {
+const OutstandingCall* ServerState::RecordFirstByte(TimePoint now,
+                                                    Duration latency) {
   const auto found = Find(now - latency);
   if (found == calls_.end()) {
     return nullptr;
@@ -85,7 +86,7 @@
   return call;
 }
 
-double ServerState::Overdue(TimePoint now) const {
+double ServerState::OverdueRatio(TimePoint now) const {
   if (calls_.empty() || expected_sum_ <= Duration::zero()) {
     return 0;
   }
@@ -134,13 +135,14 @@
 double ServerState::Load(TimePoint now) const {
   double others = peer_sum_;
   if (reported_at_) {
-    const double fade = std::exp(-Ratio(now - *reported_at_, kReportFade));
+    const double fade =
+        std::exp(-Ratio(now - *reported_at_, kReportTimeConstant));
     others = std::max(others, reported_others_ * fade);
   }
   return static_cast<double>(calls_.size()) + others;
 }
 
-void ServerState::CountOutcome(TimePoint now, CallOutcome outcome) {
+void ServerState::RecordOutcome(TimePoint now, CallOutcome outcome) {
   if (outcome == CallOutcome::kCancelled) {
     return;
   }
@@ -151,33 +153,35 @@
   if (!failed && probing_) {
     probing_ = false;
   }
-  if (!failed && failures_.value() < kHealthyFailures) {
+  if (!failed && failures_.value() < kHealthyFailureRatio) {
     ejections_ = 0;
   }
 }
 
-double ServerState::FailureShare(TimePoint now) const {
-  return failures_.value() * Fade(now - failure_at_, kFailureHalfLife);
+double ServerState::FailureRatio(TimePoint now) const {
+  return failures_.value() * DecayFactor(now - failure_at_, kFailureHalfLife);
 }
 
 double ServerState::SlowFactor(TimePoint now) const {
-  // On average a call in flight has waited half of its time.
-  const double overdue = Overdue(now) / 2;
+  // On average a call in flight has waited for half of its time.
+  const double overdue = OverdueRatio(now) / 2;
   if (slow_.count() == 0) {
     return std::max(1.0, overdue);
   }
-  const double fade = Fade(now - slow_at_, kSlowHalfLife);
+  const double fade = DecayFactor(now - slow_at_, kSlowHalfLife);
   return std::max(1 + (slow_.value() - 1) * fade, overdue);
 }
 
 void ServerState::AddSlowSample(TimePoint now, double factor) {
-  slow_.Add(std::clamp(factor, kLowestSlow, kHighestSlow));
+  slow_.Add(std::clamp(factor, kMinSlowFactor, kMaxSlowFactor));
   slow_at_ = now;
 }
 
 bool ServerState::MayBeOutlier(TimePoint now) const {
-  return consecutive_failures_ > 0 || failures_.value() >= kSuspectFailures ||
-         slow_.value() >= kSuspectSlow || Overdue(now) >= kSuspectSlow;
+  return consecutive_failures_ > 0 ||
+         failures_.value() >= kSuspectFailureRatio ||
+         slow_.value() >= kSuspectSlowFactor ||
+         OverdueRatio(now) >= kSuspectSlowFactor;
 }
 
 void ServerState::Eject(TimePoint until) {
--- a/src/routing/server_table.cc
+++ b/src/routing/server_table.cc
@@ -10,19 +10,21 @@
 namespace {
 
 constexpr Duration kCheckInterval = std::chrono::milliseconds(100);
-/// A check looks at this many servers, so that it costs a decision little.
+/// Bounds the servers checked at once, since a check runs within a decision.
 constexpr size_t kServersPerCheck = 64;
-/// A comparison reads every server; it waits longer the more there are.
+/// Comparing the pool's servers reads all of them: the interval grows by one
+/// check interval for this many servers.
 constexpr size_t kServersPerCompare = 256;
-/// A server that says itself that it leaves does not tell its incarnation.
-constexpr uint64_t kNotTold = 0;
-constexpr Duration kRecenterInterval = std::chrono::seconds(2);
-constexpr double kMostCorrection = 1.5;
+/// A server that reports itself that it is draining sends no incarnation.
+constexpr uint64_t kUnknownIncarnation = 0;
+constexpr Duration kCenteringInterval = std::chrono::seconds(2);
+/// Bound of one correction of the typical times, as a factor either way.
+constexpr double kMaxCorrection = 1.5;
 
 }  // namespace
 
 ServerTable::ServerTable(const RouterOptions& options)
-    : options_(options), detector_(options.max_ejected_) {}
+    : options_(options), detector_(options.max_ejected_fraction_) {}
 
 bool ServerTable::Update(const PoolConfig& pool, TimePoint now) {
   std::vector<ServerState> servers;
@@ -66,7 +68,7 @@
 
 void ServerTable::MarkLeaving(std::string_view id, uint64_t incarnation) {
   Incarnation& known = incarnations_[std::string(id)];
-  if (incarnation != kNotTold && incarnation < known.number_) {
+  if (incarnation != kUnknownIncarnation && incarnation < known.number_) {
     return;
   }
   known = {std::max(incarnation, known.number_), true};
@@ -118,7 +120,7 @@
   if (changed) {
     Rebuild(now);
   }
-  return Recenter(now);
+  return CenterSlowFactors(now);
 }
 
 bool ServerTable::EndEjection(TimePoint now, size_t index) {
@@ -131,17 +133,17 @@
   return true;
 }
 
-double ServerTable::Recenter(TimePoint now) {
-  if (now < next_recenter_) {
+double ServerTable::CenterSlowFactors(TimePoint now) {
+  if (now < next_centering_) {
     return 1;
   }
-  next_recenter_ = now + kRecenterInterval;
+  next_centering_ = now + kCenteringInterval;
   for (ServerState& server : servers_) {
     server.ExpirePeers(now);
   }
-  const double median = OutlierDetector::MedianSlow(now, servers_);
+  const double median = OutlierDetector::MedianSlowFactor(now, servers_);
   const double correction =
-      std::clamp(median, 1 / kMostCorrection, kMostCorrection);
+      std::clamp(median, 1 / kMaxCorrection, kMaxCorrection);
   for (ServerState& server : servers_) {
     server.ScaleSlow(1 / correction);
   }
@@ -150,16 +152,16 @@
 
 void ServerTable::Rebuild(TimePoint now) {
   leaving_changed_ = false;
-  TakeUsable(
+  CollectUsable(
       [now](const ServerState& server) { return !server.IsEjected(now); });
   if (usable_.empty()) {
-    // The others left after the ejection: a doubtful server is better.
-    TakeUsable([](const ServerState& /*server*/) { return true; });
+    // The others drained after the ejection: an ejected server beats none.
+    CollectUsable([](const ServerState& /*server*/) { return true; });
   }
 }
 
 template <typename Accept>
-void ServerTable::TakeUsable(const Accept& accept) {
+void ServerTable::CollectUsable(const Accept& accept) {
   near_.clear();
   far_.clear();
   usable_.clear();
--- a/tests/unit-hedging.cc
+++ b/tests/unit-hedging.cc
@@ -43,11 +43,11 @@
 TEST_CASE("hedge") {
   HedgePolicy policy;
   HedgeQuery query = SlowCall();
-  SECTION("goes out for a call past its delay") {
+  SECTION("is sent for a call past its delay") {
     CHECK(policy.Decide(query) == HedgeOutcome::kHedged);
     CHECK(policy.count(HedgeOutcome::kHedged) == 1);
   }
-  SECTION("does not go out") {
+  SECTION("is not sent") {
     SECTION("for a call that may not be repeated") {
       query.non_idempotent_ = true;
       CHECK(policy.Decide(query) == HedgeOutcome::kNonIdempotent);
@@ -73,7 +73,7 @@
       query.expected_ = milliseconds(150);
       CHECK(policy.Decide(query) == HedgeOutcome::kOverloaded);
     }
-    SECTION("when spend runs low") {
+    SECTION("when the class is close to its spend limit") {
       query.spend_tight_ = true;
       CHECK(policy.Decide(query) == HedgeOutcome::kSpendTight);
     }
@@ -90,7 +90,7 @@
 
 TEST_CASE("retry") {
   RetryPolicy policy = MakeRetryPolicy();
-  SECTION("follows how the call ended") {
+  SECTION("depends on how the call ended") {
     const struct {
       CallOutcome outcome_;
       RetryOutcome idempotent_;
@@ -154,7 +154,7 @@
     CHECK(longest_second > milliseconds(12));
     CHECK(longest_second < milliseconds(20));
   }
-  SECTION("makes no storm when a whole pool is down") {
+  SECTION("stays within its budget when a whole pool is down") {
     constexpr int kCalls = 10000;
     int calls = 0;
     for (int i = 0; i < kCalls; ++i) {
@@ -174,16 +174,16 @@
 TEST_CASE("deadline split") {
   const std::vector<Duration> learned = {milliseconds(50), milliseconds(150),
                                          milliseconds(800)};
-  SECTION("shares the time out by learned times") {
+  SECTION("divides the time in proportion to learned times") {
     const StageTime time = SplitDeadline(seconds(4), learned);
     CHECK(time.share_ == milliseconds(200));
     CHECK(time.limit_ == milliseconds(3050));
   }
-  SECTION("leaves a stage a multiple of its usual time") {
+  SECTION("gives a stage at least a multiple of its learned time") {
     CHECK(SplitDeadline(milliseconds(1100), learned).share_ ==
           milliseconds(150));
   }
-  SECTION("shrinks all alike when time is short") {
+  SECTION("cuts all stages in proportion when time is short") {
     const StageTime time = SplitDeadline(milliseconds(500), learned);
     CHECK(time.share_ == milliseconds(25));
     CHECK(time.limit_ == milliseconds(25));
@@ -192,7 +192,7 @@
     const StageTime time = SplitDeadline(seconds(1), {&learned.back(), 1});
     CHECK(time.share_ == seconds(1));
   }
-  SECTION("gives all while times are unknown, and nothing past the end") {
+  SECTION("gives all while times are unknown, and nothing past the deadline") {
     CHECK(SplitDeadline(seconds(1), {}).share_ == seconds(1));
     CHECK(SplitDeadline(seconds(1), {Duration()}).limit_ == seconds(1));
     CHECK(SplitDeadline(seconds(-1), learned).limit_ == Duration());
--- a/tests/unit-routing.cc
+++ b/tests/unit-routing.cc
@@ -20,7 +20,7 @@
 constexpr CallShape kCall = {};
 constexpr const char* kDomains[] = {"a", "b", "c"};
 
-/// A pool and its router under a hand-driven clock.
+/// A pool and its router with a simulated clock.
 class RouterTest {
  public:
   explicit RouterTest(size_t servers, RouterOptions options = {}) {
@@ -49,7 +49,8 @@
     router_->OnFinish(server, now_, outcome, latency, 0, call);
   }
 
-  /// Makes `calls` calls one after the other; `end` tells how each ends.
+  /// Makes `calls` calls one after the other; `end` returns how each ends.
+  /// Returns the number of calls by server.
   using End = std::function<std::pair<CallOutcome, Duration>(std::string)>;
   std::map<std::string, int> Run(int calls,
                                  const End& end,
@@ -67,10 +68,10 @@
     return counts;
   }
 
-  /// Starts one call at each server of the pool but `left_out`.
-  void StartEverywhere(const std::string& left_out) {
+  /// Starts one call at each server of the pool except `excluded`.
+  void StartEverywhere(const std::string& excluded) {
     for (const auto& [id, server] : pool_.servers_) {
-      if (id != left_out) {
+      if (id != excluded) {
         router_->OnStart(id, now_, kCall);
       }
     }
@@ -105,7 +106,7 @@
 }  // namespace
 
 TEST_CASE("choice of a server") {
-  SECTION("leaves out servers already tried") {
+  SECTION("skips excluded servers") {
     RouterTest test(3);
     CHECK(test.Choose(kCall, {"s0", "s1"}) == "s2");
     CHECK_FALSE(test.Choose(kCall, {"s0", "s1", "s2"}));
@@ -129,20 +130,20 @@
     const auto counts = test.Run(300, Healthy);
     CHECK(counts.at("s0") + counts.at("s3") > 200);
   }
-  SECTION("counts what peers and reports say is there") {
+  SECTION("counts the load that peers and servers report") {
     RouterTest test(2);
     test.router_->OnPeerLoad("g2", "s0", test.now_, 20);
     CHECK(test.Chosen(20) == std::set<std::string>{"s1"});
     test.router_->OnLoadReport("s1", test.now_, milliseconds(10), 40);
     CHECK(test.Chosen(20) == std::set<std::string>{"s0"});
   }
-  SECTION("lets an old report fade") {
+  SECTION("lets an old report decay") {
     RouterTest test(2);
     test.router_->OnLoadReport("s0", test.now_, milliseconds(0), 5);
     test.now_ += seconds(10);
     CHECK(test.Chosen(50).count("s0") == 1);
   }
-  SECTION("works for a pool that reports no load by own calls alone") {
+  SECTION("goes by own calls alone in a pool that reports no load") {
     RouterTest test(3);
     for (int i = 0; i < 5; ++i) {
       test.router_->OnStart("s0", test.now_, kCall);
@@ -159,7 +160,7 @@
   };
   RouterOptions no_ejection = AnyDomain();
   no_ejection.ejection_ = false;
-  SECTION("ten times as slow gets next to nothing once known") {
+  SECTION("ten times as slow gets hardly any calls once observed") {
     RouterTest test(6, no_ejection);
     test.Run(100, slow_s1);
     const auto counts = test.Run(200, slow_s1);
@@ -174,7 +175,7 @@
     REQUIRE(delay);
     CHECK(*delay < milliseconds(30));
   }
-  SECTION("that stopped is left out though no call of it ends") {
+  SECTION("that hangs is avoided though none of its calls end") {
     RouterTest test(6, no_ejection);
     test.Run(100, Healthy);
     test.router_->OnStart("s1", test.now_, kCall);
@@ -189,7 +190,7 @@
   test.Run(200, Healthy);
   const std::set<std::string> half = {"s0", "s1", "s2", "s3", "s4"};
   const std::set<std::string> rest = {"s5", "s6", "s7", "s8", "s9"};
-  /// Three calls at once on each of the servers, all refused.
+  /// Three failed calls at each of the servers, then a maintenance run.
   const auto fail = [&](const std::set<std::string>& servers) {
     for (const std::string& server : servers) {
       for (int i = 0; i < 3; ++i) {
@@ -200,24 +201,24 @@
     test.now_ += seconds(1);
     test.Choose();
   };
-  SECTION("takes out a server that fails where its peers do not") {
+  SECTION("excludes a server that fails while its peers do not") {
     fail({"s1"});
     CHECK(test.router_->usable_servers(test.now_) == 9);
     CHECK(test.Chosen(100).count("s1") == 0);
   }
-  SECTION("never takes more than the floor allows") {
+  SECTION("never exceeds the largest fraction of the pool") {
     fail({"s0", "s1", "s2"});
     CHECK(test.router_->usable_servers(test.now_) == 7);
     fail({"s3"});
     CHECK(test.router_->usable_servers(test.now_) == 7);
   }
-  SECTION("spares all when the whole pool fails") {
+  SECTION("excludes none when the whole pool fails") {
     std::set<std::string> all = half;
     all.insert(rest.begin(), rest.end());
     fail(all);
     CHECK(test.router_->usable_servers(test.now_) == 10);
   }
-  SECTION("tells that the whole pool is down until one call succeeds") {
+  SECTION("reports the pool as down until one call succeeds") {
     fail({"s0", "s1", "s2"});
     CHECK_FALSE(test.router_->IsDown(test.now_));
     fail(rest);
@@ -228,13 +229,13 @@
   }
   SECTION("sends the work to the half of a pool that is up") {
     fail(half);
-    int at_rest = 0;
+    int calls_to_rest = 0;
     for (const auto& [server, count] : test.Run(100, Healthy)) {
-      at_rest += rest.count(server) > 0 ? count : 0;
+      calls_to_rest += rest.count(server) > 0 ? count : 0;
     }
-    CHECK(at_rest > 85);
+    CHECK(calls_to_rest > 85);
   }
-  SECTION("gives way when every other server is leaving") {
+  SECTION("is ignored when every other server is draining") {
     fail({"s1"});
     std::set<std::string> others = half;
     others.insert(rest.begin(), rest.end());
@@ -244,7 +245,7 @@
     }
     CHECK(test.Choose() == "s1");
   }
-  SECTION("probes with one call and lets the server come back") {
+  SECTION("ends with one probe call before the server is used again") {
     fail({"s1"});
     test.now_ += seconds(3);
     test.Choose();
@@ -263,7 +264,7 @@
   test.router_->OnLeaving("s1", 4, test.now_);
   const std::set<std::string> others = {"s0", "s2"};
   CHECK(test.Chosen(50) == others);
-  SECTION("are not brought back by a late list") {
+  SECTION("are not brought back by an outdated list") {
     test.router_->Update(test.pool_, test.now_);
     CHECK(test.Chosen(50) == others);
     PoolConfig without = test.pool_;
@@ -272,7 +273,7 @@
     test.router_->Update(test.pool_, test.now_);
     CHECK(test.Chosen(50) == others);
   }
-  SECTION("are not brought back by news of their own incarnation") {
+  SECTION("are not brought back by a report of the same incarnation") {
     test.router_->OnAlive("s1", 4, test.now_);
     test.router_->OnAlive("s1", 3, test.now_);
     CHECK(test.Chosen(50) == others);
@@ -285,8 +286,9 @@
     test.Finish("s1", milliseconds(0));
     CHECK(test.Chosen(50).count("s1") == 1);
   }
-  // Work went on to a server that had said so itself until control said it too.
-  SECTION("are believed when they say so themselves, whatever is known") {
+  // A server's own report has no incarnation. If it were ignored, the server
+  // would get new calls until the control VMs report it as well.
+  SECTION("are excluded by their own report, whatever incarnation is known") {
     test.router_->OnAlive("s1", 6, test.now_);
     test.router_->OnLeaving("s1", 0, test.now_);
     CHECK(test.Chosen(50) == others);
@@ -295,7 +297,7 @@
     test.router_->OnAlive("s1", 7, test.now_);
     CHECK(test.Chosen(50).count("s1") == 1);
   }
-  SECTION("ignore leaving of an older incarnation") {
+  SECTION("ignore a report about an older incarnation") {
     test.router_->OnAlive("s1", 6, test.now_);
     test.router_->OnLeaving("s1", 5, test.now_);
     CHECK(test.router_->usable_servers(test.now_) == 3);
@@ -310,18 +312,18 @@
     const auto counts = test.Run(60, Healthy, call);
     CHECK(counts.size() == 1);
   }
-  SECTION("gives way to load") {
+  SECTION("yields to load") {
     RouterTest test(6);
-    const std::string home = test.Run(60, Healthy, call).begin()->first;
+    const std::string preferred = test.Run(60, Healthy, call).begin()->first;
     for (int i = 0; i < 8; ++i) {
-      test.router_->OnStart(home, test.now_, call);
+      test.router_->OnStart(preferred, test.now_, call);
     }
-    CHECK(test.Choose(call) != home);
+    CHECK(test.Choose(call) != preferred);
   }
   SECTION("follows cache events until one is missing") {
     RouterTest test(6);
-    const std::string home = test.Run(60, Healthy, call).begin()->first;
-    const std::string holder = home == "s4" ? "s5" : "s4";
+    const std::string preferred = test.Run(60, Healthy, call).begin()->first;
+    const std::string holder = preferred == "s4" ? "s5" : "s4";
     test.router_->OnCacheEvent(holder, 1, call.prefix_hash_, true);
     CHECK(test.Choose(call) == holder);
     SECTION("late ones are ignored") {
@@ -330,7 +332,7 @@
       test.router_->OnCacheEvent(holder, 2, call.prefix_hash_, false);
       CHECK(test.Choose(call) == holder);
     }
-    SECTION("a gap drops what was believed of the server") {
+    SECTION("a gap clears what the server was assumed to hold") {
       test.router_->OnCacheEvent(holder, 3, 1, true);
       CHECK(test.Choose(call) != holder);
     }
@@ -339,12 +341,12 @@
 
 TEST_CASE("estimates") {
   RouterTest test(4);
-  SECTION("are missing until calls were seen") {
+  SECTION("are missing until calls were observed") {
     CHECK_FALSE(test.router_->ExpectedFinish(test.now_, kCall));
     CHECK_FALSE(test.router_->HedgeDelay(kCall));
     CHECK_FALSE(test.router_->LatencyQuantile(0.5));
   }
-  SECTION("follow what calls take, and the load") {
+  SECTION("follow the observed latency and the load") {
     test.Run(100, Healthy);
     const auto idle = test.router_->ExpectedFinish(test.now_, kCall);
     REQUIRE(idle);
