--- a/include/citronlane/stages/stage_batch.h
+++ b/include/citronlane/stages/stage_batch.h
@@ -14,14 +14,14 @@
 struct StageBatch {
   uint64_t call_ = 0;
   std::string server_;
-  /// What the server calls itself.
+  /// Name under which the server registered; the id may add its incarnation.
   std::string server_name_;
   std::string address_;
   std::vector<StagePiece> pieces_;
-  /// The call is given up then.
+  /// When the sender must give up the call.
   TimePoint deadline_;
-  /// What the server keeps of earlier calls, and what is left of its room for
-  /// results once this call's are made.
+  /// Bytes of results that the server holds from earlier calls, and free bytes
+  /// of its capacity for results once this call's are made.
   uint64_t kept_bytes_ = 0;
   uint64_t room_left_ = 0;
 };
--- a/include/citronlane/stages/stage_batcher.h
+++ b/include/citronlane/stages/stage_batcher.h
@@ -26,18 +26,22 @@
 
 /// Forms the calls to the servers of one stage pool from the pieces of many
 /// gateways. A call takes long however few pieces it carries, so pieces wait
-/// while all servers are busy and go together as soon as one is free; none
-/// waits while a server is idle. Pure: commands come out of Next and the Take
-/// methods. Not thread safe.
+/// while all servers are busy and share a call as soon as one is free. They
+/// wait beside an idle server only if it is out of capacity for their results,
+/// or in another failure domain than their inputs. It sends nothing: the owner
+/// of the pool makes the calls that Next returns, reports how they ended, and
+/// fetches further actions by the Take methods. Time is passed in. Not thread
+/// safe.
 class StageBatcher {
  public:
-  /// Whether a request's pieces may be handed to servers once more now.
+  /// Returns whether a request's pieces may be sent to a server again, and
+  /// counts it as done.
   using RepeatHook = std::function<bool(TimePoint now)>;
-  /// How a call ended that brought no results.
+  /// How a call ended that returned no results.
   enum class CallFailure {
-    /// No server has seen it.
+    /// It did not reach the server.
     kNotSent,
-    /// The server refused it: it has its hands full.
+    /// The server refused it, since it is busy.
     kRefused,
     /// The server may have run it.
     kLost,
@@ -45,66 +49,80 @@
 
   StageBatcher(const StagePoolSpec& spec, RepeatHook may_repeat);
 
-  /// Takes a new version of the pool's declaration, and of its servers.
+  /// Replaces the pool's declaration.
   void SetSpec(const StagePoolSpec& spec) { spec_ = spec; }
+  /// Replaces the list of servers. Servers that stay keep their state; one with
+  /// a call in flight is kept, draining, until the next list.
   void SetServers(absl::Span<const BackendServer* const> servers);
 
-  /// Another gateway may have run the pool until now: half of the room of a
-  /// server that has none counts as taken until the results that it left have
-  /// expired, and a server's first call may wait for those of the other.
+  /// Another gateway may have owned the pool until now. If a server turns out
+  /// to be out of capacity, half of it counts as occupied until results made
+  /// before have expired, and each server's first call may have to wait behind
+  /// calls of the previous owner.
   void TakeOver(TimePoint now);
 
-  /// Returns the task's number.
+  /// Adds a task, whose pieces wait for a call. Returns its number.
   uint64_t Add(StageTask task, TimePoint now);
-  /// Nobody wants the task any more.
-  /// Returns whether no piece of it was handed to a server; false when it is
-  /// over.
+  /// Removes a task without an outcome and discards its results. Returns true
+  /// if no server can have run any piece of it; false also when the task is
+  /// unknown or has ended.
   bool Cancel(uint64_t task);
 
-  /// The next call that should start now, if any.
+  /// Returns the next call to start now, if any; call it until it returns
+  /// nullopt. Each call ends by one Finished or Failed.
   std::optional<StageBatch> Next(TimePoint now);
-  /// Results of a call, one a piece.
+  /// Reports the results of a call, in the order of its pieces; a missing one
+  /// counts as failed. Unknown calls are ignored, here and in Failed.
   void Finished(uint64_t call,
                 absl::Span<const StagePieceResult> results,
                 TimePoint now);
+  /// Reports that a call ended without results. Its pieces wait for another
+  /// call or end their task; the server gets no call for a while.
   void Failed(uint64_t call, CallFailure failure, TimePoint now);
-  /// Passage of time: ends tasks that are too late and frees what a server has
-  /// dropped by itself. Call every 50 ms or so.
+  /// Ends tasks that can not be done any more, expires results and
+  /// announcements, and hedges late calls. Call it about every 50 ms.
   void Tick(TimePoint now);
 
-  /// This gateway is going: ends the tasks of which nothing was sent, so that
-  /// another one may run them.
+  /// For the shutdown of this gateway: ends as kMoved the tasks that no server
+  /// can have run, so that another gateway may run them.
   void HandBackWaiting();
 
   /// Tasks that ended since the last call.
   std::vector<StageOutcome> TakeOutcomes();
-  /// Tasks whose inputs were fetched since the last call: they may be freed,
-  /// and if a call is lost all the same, the task ends as kInputGone.
+  /// Tasks whose inputs were fetched by servers since the last call. The inputs
+  /// may be released; if a call of such a task is lost after that, the task
+  /// ends as kInputGone.
   std::vector<uint64_t> TakeTasksWithInputsTaken();
-  /// Results that nobody wants, by the address of the server that keeps them.
+  /// Handles of results discarded since the last call, by the address of the
+  /// server that holds them. The owner has the servers delete them.
   std::map<std::string, std::vector<std::string>> TakeUnwanted();
-  /// The results are not needed any more: makes room and hands them to
-  /// TakeUnwanted.
+  /// Discards results that are not needed any more: their capacity counts as
+  /// free, and TakeUnwanted returns them.
   void Free(absl::Span<const std::string> handles);
 
-  /// Pieces that will come, so that the waits told to others count them before
-  /// they are there. Returns a number for Withdraw.
+  /// Announces pieces that will be added later, so that ExpectedWait counts
+  /// them already. Returns a number for Withdraw. An announcement expires at
+  /// its deadline.
   uint64_t Announce(const StageForecast& forecast);
-  /// The announced pieces have come, or never will.
+  /// Ends an announcement: its pieces were added, or never will be.
   void Withdraw(uint64_t announcement);
-  /// What such pieces would meet if they were announced now.
+  /// Estimates how long such pieces would wait if they were announced now. A
+  /// fixed value when no server takes calls.
   StageWait ExpectedWait(const StageForecast& forecast, TimePoint now) const;
 
+  /// Pieces that wait for a call.
   size_t waiting_pieces() const { return waiting_; }
+  /// Tasks that have not ended.
   size_t tasks() const { return tasks_.size(); }
+  /// Calls in flight, hedged ones included.
   size_t open_calls() const { return calls_.size(); }
 
  private:
   struct Piece {
-    uint32_t tries_ = 0;
-    /// Calls that have it in hand.
+    uint32_t attempts_ = 0;
+    /// Calls in flight that carry it.
     uint32_t in_calls_ = 0;
-    bool waits_ = true;
+    bool is_waiting_ = true;
     std::string handle_;
   };
   struct Task {
@@ -114,13 +132,15 @@
     /// Pieces that wait for a call.
     uint32_t waiting_ = 0;
     uint32_t done_ = 0;
-    /// A call with one of its pieces was answered or lost.
+    /// A call with one of its pieces was replied to or lost.
     bool may_have_run_ = false;
-    /// When a server began with the last of its pieces that was handed out.
-    TimePoint last_begun_;
-    /// Servers have fetched what it works on.
+    /// When a server started, or at the latest starts, the last call with one
+    /// of its pieces.
+    TimePoint last_started_;
+    /// Servers have fetched its inputs.
     bool inputs_taken_ = false;
-    TimePoint repeat_paid_until_;
+    /// Until then further repeats are part of one that was allowed.
+    TimePoint repeat_allowed_until_;
   };
   struct Result {
     uint64_t bytes_ = 0;
@@ -132,26 +152,28 @@
     std::string address_;
     std::string failure_domain_;
     bool leaving_ = false;
+    /// Calls in flight, except hedged ones.
     uint32_t calls_ = 0;
-    /// Number of the call that waits there for its turn; 0 for none.
-    uint64_t waiting_call_ = 0;
-    /// When it should be done with what it has in hand.
+    /// Number of the call that is queued at the server; 0 for none.
+    uint64_t queued_call_ = 0;
+    /// When its calls in flight should be done.
     TimePoint free_at_;
-    /// Time of calls against what the declaration says, learned.
-    double slowness_ = 1;
+    /// Learned time of calls relative to the declared time.
+    double slow_factor_ = 1;
     TimePoint suspended_until_;
-    /// Calls of another gateway may stand before the next one there.
+    /// Calls of another gateway may precede the next one there.
     bool may_be_busy_ = false;
-    /// Half of its room was taken for what another gateway left.
-    bool has_left_results_ = false;
-    int failures_in_row_ = 0;
+    /// Capacity was set aside for results of the previous owner's calls.
+    bool has_reserved_for_previous_owner_ = false;
+    int consecutive_failures_ = 0;
     uint64_t held_bytes_ = 0;
-    /// Of calls in hand.
+    /// For the results of calls in flight.
     uint64_t reserved_bytes_ = 0;
     std::map<std::string, Result> results_;
   };
-  /// Servers of a failure domain that may take calls, and what waits for them.
-  struct Nearby {
+  /// Servers of a failure domain that can take calls, and the pieces that
+  /// should run there.
+  struct DomainLoad {
     size_t servers_ = 0;
     TimePoint first_free_;
     size_t waiting_ = 0;
@@ -159,14 +181,14 @@
   struct Call {
     std::string server_;
     std::vector<std::pair<uint64_t, uint32_t>> pieces_;
-    /// When the server began with it; when it was sent while it waits there.
-    TimePoint begun_;
-    bool waits_ = false;
+    /// When the server started it; when it was sent while it is queued there.
+    TimePoint started_;
+    bool is_waiting_ = false;
     Duration expected_{};
-    /// Of the server when the call began.
-    double slowness_ = 1;
+    /// Slow factor of the server when the call was sent.
+    double slow_factor_ = 1;
     uint64_t reserved_bytes_ = 0;
-    /// Its pieces were given to another server as well.
+    /// Its pieces may be sent to another server as well.
     bool hedged_ = false;
   };
 
@@ -177,19 +199,19 @@
   };
 
   std::vector<Server*> IdleServers(TimePoint now);
-  std::vector<Server*> ServersAboutToEnd(TimePoint now);
-  uint64_t LeastRoomWanted() const;
-  std::vector<ChosenPiece> ChooseFor(const Server& server,
-                                     uint64_t least_room,
-                                     TimePoint now);
+  std::vector<Server*> ServersFinishingSoon(TimePoint now);
+  uint64_t MinUsefulCapacity() const;
+  std::vector<ChosenPiece> ChoosePieces(const Server& server,
+                                        uint64_t min_capacity,
+                                        TimePoint now);
   StageBatch Start(Server* server,
                    const std::vector<ChosenPiece>& chosen,
                    TimePoint now);
-  void EndTurn(Server* server, uint64_t call, TimePoint now);
-  void BeginWaitingCall(Server* server, TimePoint now);
-  uint64_t RoomOf(const Server& server) const;
+  void StartQueuedCall(Server* server, uint64_t call, TimePoint now);
+  void MarkQueuedCallStarted(Server* server, TimePoint now);
+  uint64_t FreeCapacity(const Server& server) const;
   std::vector<std::pair<uint64_t, Task*>> TasksInOrder(const Server& server,
-                                                       uint64_t least_room,
+                                                       uint64_t min_capacity,
                                                        TimePoint now);
   TimePoint OrderOf(TimePoint target,
                     uint32_t priority,
@@ -198,13 +220,13 @@
   bool IsLate(TimePoint target, TimePoint now) const;
   double PiecesPerMicrosecond(TimePoint now) const;
   void SetWaiting(Task* task, Piece* piece, bool waits);
-  bool IsNear(const Task& task, const Server& server) const;
-  std::map<std::string_view, Nearby> NearbyByDomain(uint64_t least_room,
-                                                    TimePoint now) const;
-  bool WaitsForNearServer(const Task& task, const Nearby& nearby) const;
-  bool CanNeverGoWhole(const Task& task) const;
-  bool FitsWhole(const Task& task, size_t places, uint64_t room) const;
-  Duration Expected(const Server& server, size_t pieces) const;
+  bool IsInNearDomain(const Task& task, const Server& server) const;
+  std::map<std::string_view, DomainLoad> LoadByDomain(uint64_t min_capacity,
+                                                      TimePoint now) const;
+  bool WaitsForNearServer(const Task& task, const DomainLoad& load) const;
+  bool ExceedsAnyCall(const Task& task) const;
+  bool FitsCall(const Task& task, size_t places, uint64_t room) const;
+  Duration ExpectedCallTime(const Server& server, size_t pieces) const;
   StagePiece MakePiece(const Task& task, uint32_t piece, TimePoint now) const;
   Server* ReleaseCall(uint64_t number, const Call& call, TimePoint now);
   void TakeResult(uint64_t task,
@@ -212,20 +234,20 @@
                   const StagePieceResult& result,
                   Server* server,
                   TimePoint now);
-  void KeepResult(Server* server,
-                  const std::string& handle,
-                  uint64_t bytes,
-                  TimePoint now);
-  void TakeNoRoom(Server* server, uint64_t bytes, TimePoint now);
-  void TakeRoom(Server* server, uint64_t bytes, TimePoint until);
+  void RecordHeldResult(Server* server,
+                        const std::string& handle,
+                        uint64_t bytes,
+                        TimePoint now);
+  void OnOutOfCapacity(Server* server, uint64_t bytes, TimePoint now);
+  void OccupyCapacity(Server* server, uint64_t bytes, TimePoint until);
   void Requeue(uint64_t task, uint32_t piece, bool is_repeat, TimePoint now);
-  void RequeueParked(TimePoint now);
-  void NoteTakenInputs(TimePoint now);
+  void RequeueAwaitingRepeat(TimePoint now);
+  void RecordFetchedInputs(TimePoint now);
   static bool HasNotRun(const Task& task);
   void End(uint64_t task, StageOutcome::Result result);
   void Discard(const std::string& handle);
   void Suspend(Server* server, TimePoint now);
-  void EndHopelessTasks(TimePoint now);
+  void EndUnfinishableTasks(TimePoint now);
   void HedgeLateCalls(TimePoint now);
 
   StagePoolSpec spec_;
@@ -234,22 +256,24 @@
   std::map<uint64_t, Task> tasks_;
   std::map<uint64_t, Call> calls_;
   std::map<uint64_t, StageForecast> announced_;
-  /// Which server keeps a result.
-  std::map<std::string, std::string> keepers_;
-  std::map<std::string, std::vector<std::string>> unwanted_;
+  /// Id of the server that holds a result, by handle.
+  std::map<std::string, std::string> holders_;
+  /// Handles by address, for TakeUnwanted.
+  std::map<std::string, std::vector<std::string>> discarded_;
   std::vector<StageOutcome> outcomes_;
-  std::vector<uint64_t> taken_;
-  /// Pieces that failed and wait for a repeat to be allowed.
-  std::set<std::pair<uint64_t, uint32_t>> parked_;
+  /// For TakeTasksWithInputsTaken.
+  std::vector<uint64_t> tasks_with_inputs_taken_;
+  /// Pieces that failed and wait until a repeat is allowed.
+  std::set<std::pair<uint64_t, uint32_t>> awaiting_repeat_;
   std::optional<TimePoint> taken_over_;
   size_t waiting_ = 0;
   uint64_t last_number_ = 0;
-  /// Time of a piece against what the declaration says, over all servers.
+  /// Factor on the declared time of a piece.
   double piece_factor_ = 1;
-  /// What calls took lately, learned over all servers.
-  Duration usual_call_{};
-  /// Pieces of a task, learned.
-  double usual_pieces_ = 1;
+  /// Moving average of the time of calls, over all servers.
+  Duration average_call_time_{};
+  /// Moving average of the pieces of a task.
+  double average_pieces_ = 1;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/stages/stage_outcome.h
+++ b/include/citronlane/stages/stage_outcome.h
@@ -11,21 +11,23 @@
 struct StageOutcome {
   enum class Result {
     kDone,
-    /// Its deadline passed.
+    /// Its deadline passed, or could not be met.
     kLate,
-    /// One of its inputs is gone.
+    /// One of its inputs is gone, also when it was released after servers had
+    /// fetched it and their call was lost.
     kInputGone,
-    /// Nothing of it was sent, and the gateway that had it is going.
+    /// It did not run, and the gateway that had it is shutting down: another
+    /// one may run it.
     kMoved,
-    /// Its pieces failed too often, or there is no server.
+    /// One of its pieces failed too often.
     kFailed,
   };
 
   uint64_t task_ = 0;
   Result result_ = Result::kFailed;
-  /// One a piece, in order, when it is done.
+  /// The handle of each piece's result, in order; only for kDone.
   std::vector<std::string> handles_;
-  /// No piece was ever handed to a server.
+  /// No server can have run any piece of it.
   bool not_run_ = false;
 };
 
--- a/include/citronlane/stages/stage_reply_check.h
+++ b/include/citronlane/stages/stage_reply_check.h
@@ -13,42 +13,46 @@
 
 namespace citronlane {
 
-/// Tells the replies to a pool's calls apart. They name no call, and a server
-/// may send one twice, the second time where the next call's is expected: its
-/// results would go to other requests. Pure. Not thread safe.
+/// Checks that a reply belongs to the call it arrived for. Replies carry no
+/// call id, and a server may send one twice, the second time where the next
+/// call's reply is expected: its results would go to other requests. It does
+/// not check whether the pieces succeeded. Not thread safe.
 class StageReplyCheck {
  public:
   enum class Match {
+    /// The reply belongs to the call.
     kOwn,
-    /// It could as well answer another call: nothing was made, or something
-    /// that an earlier reply named for the same piece.
+    /// It may belong to another call: it names no result, or one that an
+    /// earlier reply named for the same piece.
     kMayBeOthers,
-    /// Not one result a piece.
-    kOtherSize,
-    /// Names a result that an earlier reply named for another piece.
+    /// The number of results differs from the number of pieces.
+    kSizeMismatch,
+    /// It names a result that an earlier reply named for another piece.
     kSeenBefore,
   };
 
-  /// Replies are remembered for `memory`: longer than connections are kept
-  /// between two calls.
-  explicit StageReplyCheck(Duration memory);
+  /// Handles are remembered for `retention`, which must be longer than idle
+  /// connections are kept open.
+  explicit StageReplyCheck(Duration retention);
 
-  /// What a reply is to a call of `pieces`; remembers one that is its own.
-  /// Precondition: `now` does not go back.
+  /// Classifies a reply to a call with `pieces`, and remembers its handles
+  /// unless it is kSizeMismatch or kSeenBefore. Precondition: `now` never
+  /// decreases between calls.
   Match Take(absl::Span<const StagePieceResult> results,
              absl::Span<const StagePiece> pieces,
              TimePoint now);
 
  private:
-  void Forget(TimePoint now);
+  void Expire(TimePoint now);
   void Remember(absl::Span<const StagePieceResult> results,
                 absl::Span<const StagePiece> pieces,
                 TimePoint now);
 
-  const Duration memory_;
-  /// By a hash of the result's handle, one of the piece that it was made for: a
-  /// busy pool has thousands of them within the memory.
-  std::unordered_map<uint64_t, uint64_t> seen_;
+  const Duration retention_;
+  /// Hash of the piece, by hash of its result's handle. Hashes save memory: a
+  /// busy pool has thousands of them within the retention time.
+  std::unordered_map<uint64_t, uint64_t> piece_by_handle_;
+  /// Handle hashes by the time they were added.
   std::deque<std::pair<TimePoint, uint64_t>> in_order_;
 };
 
--- a/include/citronlane/stages/stage_task.h
+++ b/include/citronlane/stages/stage_task.h
@@ -14,22 +14,23 @@
   std::string request_id_;
   uint32_t stage_ = 0;
   uint32_t pieces_ = 0;
-  /// What a stage works on that needs no other stage.
+  /// Key of the input of a stage that depends on no other stage.
   std::string key_;
-  /// Results that every piece works on, in a stage that needs other stages'.
+  /// Handles of the results that every piece reads, in a stage that depends on
+  /// others.
   bool has_inputs_ = false;
   std::vector<std::string> inputs_;
-  /// When their makers drop them.
+  /// When the producers of the inputs drop them.
   TimePoint inputs_until_ = TimePoint::max();
-  /// When the request's answer should begin, and when its caller gives up.
+  /// When the request's response should begin, and when its caller gives up.
   TimePoint target_;
   TimePoint deadline_;
   /// 0 is the most urgent.
   uint32_t priority_ = 0;
-  /// Approximate size of one result.
+  /// Approximate size of one piece's result.
   uint64_t result_bytes_ = 0;
-  /// Failure domain in which the pieces should be made: where their inputs lie
-  /// or their results will be needed. Empty for none.
+  /// Failure domain in which the pieces should run: where their inputs are held
+  /// or their results will be needed. Empty for any.
   std::string near_domain_;
 };
 
--- a/include/citronlane/stages/stage_wait.h
+++ b/include/citronlane/stages/stage_wait.h
@@ -5,13 +5,14 @@
 
 namespace citronlane {
 
-/// What a stage pool expects for pieces that were announced now.
+/// A stage pool's estimate for pieces that are announced now.
 struct StageWait {
-  /// Until their call begins: behind what goes before them and may still meet
-  /// its target, and behind everything that waits or is announced.
+  /// Time until their call begins, behind the pieces that precede them and can
+  /// still meet their target.
   Duration on_time_{};
+  /// The same behind all pieces that wait or are announced.
   Duration all_{};
-  /// What a call takes at present.
+  /// Time of a call at present.
   Duration call_{};
 };
 
--- a/src/stages/stage_batcher.cc
+++ b/src/stages/stage_batcher.cc
@@ -7,27 +7,29 @@
 namespace citronlane {
 namespace {
 
-/// Results are somewhat larger than declared; a server without room drops a
-/// piece after its call has begun.
-constexpr double kUsedRoom = 0.92;
-/// What is told while no server takes anything: as long as a call may take.
+/// Fraction of a server's capacity for results that is planned with. Results
+/// may be larger than declared, and a server that is out of capacity drops a
+/// piece only after its call has started.
+constexpr double kUsableCapacityRatio = 0.92;
+/// Estimate while no server takes calls: the longest time of a call.
 constexpr Duration kUnknownWait = std::chrono::seconds(5);
-/// What a step of urgency is worth against the time to the target.
-constexpr Duration kPriorityStep = std::chrono::milliseconds(800);
-/// A task of the usual size goes this much after one of no size: a full pool
-/// serves more requests when the small ones go first.
-constexpr Duration kSizeStep = std::chrono::milliseconds(400);
-/// Larger tasks wait no longer than ones of this many times the usual size.
-constexpr double kLargestSize = 3;
-/// Weight of the newest task in the usual size: some hundred tasks.
-constexpr double kSizeLearnWeight = 0.01;
-/// A server that should have been done this long ago is not waited for.
-constexpr Duration kOverdue = std::chrono::milliseconds(100);
-/// Part of the best throughput that calls reach: some are not full.
-constexpr double kReachedPart = 0.8;
-/// Tasks that missed their target come after all that may meet it: served first
-/// they would make the others late too.
-constexpr Duration kLateTasksBehind = std::chrono::seconds(10);
+/// Time to the target that one step of priority outweighs.
+constexpr Duration kPriorityPenalty = std::chrono::milliseconds(800);
+/// Time to the target that the average size of a task outweighs: a saturated
+/// pool serves more requests when small ones go first.
+constexpr Duration kSizePenalty = std::chrono::milliseconds(400);
+/// Bound of a task's size relative to the average, so that large tasks are not
+/// deferred without limit.
+constexpr double kMaxRelativeSize = 3;
+/// Weight of the newest task in the average size.
+constexpr double kTaskSizeWeight = 0.01;
+/// Tasks do not wait for a server that is overdue by more than this.
+constexpr Duration kMaxOverdue = std::chrono::milliseconds(100);
+/// Achieved throughput relative to that of full calls.
+constexpr double kAchievedThroughputRatio = 0.8;
+/// Tasks that will miss their target go after all that can still meet it:
+/// served first, they would make the others late too.
+constexpr Duration kLateTaskPenalty = std::chrono::seconds(10);
 
 }  // namespace
 
@@ -47,7 +49,7 @@
     server.leaving_ = listed->leaving_;
     next.emplace(listed->id_, std::move(server));
   }
-  // A server with a call in hand is kept until the call ends.
+  // A server with a call in flight is kept as draining.
   for (auto& [id, server] : servers_) {
     if (server.calls_ > 0 && next.count(id) == 0) {
       server.leaving_ = true;
@@ -71,7 +73,7 @@
   added.pieces_.resize(task.pieces_);
   added.waiting_ = task.pieces_;
   waiting_ += task.pieces_;
-  usual_pieces_ += kSizeLearnWeight * (task.pieces_ - usual_pieces_);
+  average_pieces_ += kTaskSizeWeight * (task.pieces_ - average_pieces_);
   added.task_ = std::move(task);
   return number;
 }
@@ -93,10 +95,10 @@
 }
 
 void StageBatcher::SetWaiting(Task* task, Piece* piece, bool waits) {
-  if (piece->waits_ == waits) {
+  if (piece->is_waiting_ == waits) {
     return;
   }
-  piece->waits_ = waits;
+  piece->is_waiting_ = waits;
   if (waits) {
     ++task->waiting_;
     ++waiting_;
@@ -106,84 +108,84 @@
   }
 }
 
-uint64_t StageBatcher::RoomOf(const Server& server) const {
-  const auto room =
-      static_cast<uint64_t>(static_cast<double>(spec_.room_bytes_) * kUsedRoom);
+uint64_t StageBatcher::FreeCapacity(const Server& server) const {
+  const auto room = static_cast<uint64_t>(
+      static_cast<double>(spec_.room_bytes_) * kUsableCapacityRatio);
   const uint64_t used = server.held_bytes_ + server.reserved_bytes_;
   return used >= room ? 0 : room - used;
 }
 
-// By what calls take now: full ones take twice as long as those of one piece.
+// Uses the average time too: a full call can take twice as long as one with a
+// single piece.
 bool StageBatcher::IsLate(TimePoint target, TimePoint now) const {
-  return now + std::max(spec_.call_time_, usual_call_) > target;
+  return now + std::max(spec_.call_time_, average_call_time_) > target;
 }
 
 TimePoint StageBatcher::OrderOf(TimePoint target,
                                 uint32_t priority,
                                 uint32_t pieces,
                                 TimePoint now) const {
-  const double size = std::min(kLargestSize, pieces / usual_pieces_);
+  const double size = std::min(kMaxRelativeSize, pieces / average_pieces_);
   const TimePoint order =
-      target + kPriorityStep * priority +
-      std::chrono::duration_cast<Duration>(kSizeStep * size);
-  return IsLate(target, now) ? order + kLateTasksBehind : order;
+      target + kPriorityPenalty * priority +
+      std::chrono::duration_cast<Duration>(kSizePenalty * size);
+  return IsLate(target, now) ? order + kLateTaskPenalty : order;
 }
 
-bool StageBatcher::IsNear(const Task& task, const Server& server) const {
+bool StageBatcher::IsInNearDomain(const Task& task,
+                                  const Server& server) const {
   return task.task_.near_domain_.empty() ||
          task.task_.near_domain_ == server.failure_domain_;
 }
 
-std::map<std::string_view, StageBatcher::Nearby> StageBatcher::NearbyByDomain(
-    uint64_t least_room,
+std::map<std::string_view, StageBatcher::DomainLoad> StageBatcher::LoadByDomain(
+    uint64_t min_capacity,
     TimePoint now) const {
-  std::map<std::string_view, Nearby> nearby;
+  std::map<std::string_view, DomainLoad> loads;
   for (const auto& [id, server] : servers_) {
     const bool may_begin = server.calls_ == 0
-                               ? RoomOf(server) >= least_room
-                               : server.free_at_ + kOverdue > now;
+                               ? FreeCapacity(server) >= min_capacity
+                               : server.free_at_ + kMaxOverdue > now;
     if (server.leaving_ || server.suspended_until_ > now || !may_begin) {
       continue;
     }
-    Nearby& domain = nearby[server.failure_domain_];
+    DomainLoad& domain = loads[server.failure_domain_];
     const TimePoint free_at = std::max(now, server.free_at_);
     domain.first_free_ =
         domain.servers_ == 0 ? free_at : std::min(domain.first_free_, free_at);
     ++domain.servers_;
   }
   for (const auto& [number, task] : tasks_) {
-    const auto domain = nearby.find(task.task_.near_domain_);
-    if (domain != nearby.end()) {
+    const auto domain = loads.find(task.task_.near_domain_);
+    if (domain != loads.end()) {
       domain->second.waiting_ += task.waiting_;
     }
   }
-  return nearby;
+  return loads;
 }
 
-// A busy server near the task's data is waited for as long as the task still
-// meets its target there, and as long as the next calls of the servers there
-// can carry all that waits for them: bytes between failure domains have a
-// price, and the answer is not late for it.
+// Transfers between failure domains cost money, so a task waits for a busy
+// server near its data as long as it still meets its target there, and the next
+// calls of that domain's servers can carry all pieces that wait for them.
 bool StageBatcher::WaitsForNearServer(const Task& task,
-                                      const Nearby& nearby) const {
-  return nearby.servers_ > 0 &&
-         nearby.waiting_ <= spec_.batch_ * nearby.servers_ &&
-         !IsLate(task.task_.target_, nearby.first_free_);
+                                      const DomainLoad& load) const {
+  return load.servers_ > 0 && load.waiting_ <= spec_.batch_ * load.servers_ &&
+         !IsLate(task.task_.target_, load.first_free_);
 }
 
-bool StageBatcher::CanNeverGoWhole(const Task& task) const {
+bool StageBatcher::ExceedsAnyCall(const Task& task) const {
   const uint64_t bytes = task.waiting_ * task.task_.result_bytes_;
   return task.waiting_ > spec_.batch_ ||
          static_cast<double>(bytes) >
-             static_cast<double>(spec_.room_bytes_) * kUsedRoom;
+             static_cast<double>(spec_.room_bytes_) * kUsableCapacityRatio;
 }
 
-// Pieces of one task go together: results of a part would only take room until
-// the rest is made. A task that no call or server could take whole is cut.
-bool StageBatcher::FitsWhole(const Task& task,
-                             size_t places,
-                             uint64_t room) const {
-  return CanNeverGoWhole(task) ||
+// Pieces of one task share a call: the results of some would occupy capacity
+// until the others are done. A task too large for any call or server is split.
+bool StageBatcher::FitsCall(const Task& task,
+                            size_t places,
+                            uint64_t room) const {
+  return ExceedsAnyCall(task) ||
          (task.waiting_ <= places &&
           task.waiting_ * task.task_.result_bytes_ <= room);
 }
@@ -202,36 +204,36 @@
   double pieces_per_us = 0;
   for (const auto& [id, server] : servers_) {
     if (!server.leaving_ && server.suspended_until_ <= now) {
-      const Duration call = Expected(server, spec_.batch_);
+      const Duration call = ExpectedCallTime(server, spec_.batch_);
       pieces_per_us +=
           spec_.batch_ / std::max(1.0, static_cast<double>(call.count()));
     }
   }
-  return pieces_per_us * kReachedPart;
+  return pieces_per_us * kAchievedThroughputRatio;
 }
 
 StageWait StageBatcher::ExpectedWait(const StageForecast& forecast,
                                      TimePoint now) const {
   StageWait wait;
   wait.call_ = std::max(spec_.call_time_ + spec_.piece_time_ * forecast.pieces_,
-                        usual_call_);
+                        average_call_time_);
   const double pieces_per_us = PiecesPerMicrosecond(now);
   if (pieces_per_us <= 0) {
-    // Nobody takes anything now; how long that lasts is not known.
+    // No server takes calls now, for an unknown time.
     wait.on_time_ = kUnknownWait;
     wait.all_ = kUnknownWait;
     return wait;
   }
   const TimePoint order =
       OrderOf(forecast.target_, forecast.priority_, forecast.pieces_, now);
-  uint64_t before = 0;
+  uint64_t preceding = 0;
   uint64_t all = 0;
   const auto count = [&](TimePoint target, uint32_t priority, uint32_t pieces,
                          uint32_t waiting) {
     all += waiting;
     if (!IsLate(target, now) &&
         OrderOf(target, priority, pieces, now) <= order) {
-      before += waiting;
+      preceding += waiting;
     }
   };
   Duration oldest{};
@@ -249,18 +251,19 @@
   const auto time_for = [&](uint64_t pieces) {
     return Duration(std::llround(static_cast<double>(pieces) / pieces_per_us));
   };
-  wait.on_time_ = time_for(before);
-  // Late tasks wait until those that are in time leave servers free, however
-  // few they are: what the oldest has waited, a new one will at least.
+  wait.on_time_ = time_for(preceding);
+  // Late tasks, however few, get no server while tasks that are in time need
+  // them all: a new one will wait at least as long as the oldest has.
   wait.all_ = std::max(time_for(all), oldest);
   return wait;
 }
 
-Duration StageBatcher::Expected(const Server& server, size_t pieces) const {
+Duration StageBatcher::ExpectedCallTime(const Server& server,
+                                        size_t pieces) const {
   const double work = static_cast<double>(spec_.piece_time_.count()) *
                       piece_factor_ * static_cast<double>(pieces);
   const double all = static_cast<double>(spec_.call_time_.count()) + work;
-  return Duration(std::llround(all * server.slowness_));
+  return Duration(std::llround(all * server.slow_factor_));
 }
 
 }  // namespace citronlane
--- a/src/stages/stage_batcher_calls.cc
+++ b/src/stages/stage_batcher_calls.cc
@@ -8,22 +8,22 @@
 namespace citronlane {
 namespace {
 
-/// What a server near a task's data is worth when servers are busy: bytes
-/// between failure domains have their price.
-constexpr Duration kFarStep = std::chrono::milliseconds(400);
+/// Time to the target that a server in another failure domain counts for, since
+/// transfers between failure domains cost money.
+constexpr Duration kRemoteServerPenalty = std::chrono::milliseconds(400);
 /// A call that takes longer than this is given up.
-constexpr Duration kLongestCall = std::chrono::seconds(5);
-/// A server that will be free this soon gets its next call now, to wait there:
-/// else the way to it and back, and its sender's wait for the processor, pass
-/// between two calls of a full pool.
-constexpr Duration kSendAhead = std::chrono::milliseconds(60);
-/// Only calls that are this full are sent ahead: pieces that come meanwhile
-/// could have filled others.
-constexpr double kAheadFill = 0.8;
+constexpr Duration kMaxCallTime = std::chrono::seconds(5);
+/// A server that will be free this soon gets its next call now, to be queued
+/// there. Otherwise a busy pool's servers idle between two calls for the round
+/// trip and the scheduling delay of the sender.
+constexpr Duration kSendAheadTime = std::chrono::milliseconds(60);
+/// Least fill of a call, in pieces of the largest batch, to be sent ahead:
+/// pieces that arrive until the server is free could have filled it.
+constexpr double kMinSendAheadFillRatio = 0.8;
 
 }  // namespace
 
-// The fastest first; among equals the one with the most room.
+// Sorted by speed; among equals the one with the most free capacity first.
 std::vector<StageBatcher::Server*> StageBatcher::IdleServers(TimePoint now) {
   std::vector<Server*> idle;
   for (auto& [id, server] : servers_) {
@@ -32,20 +32,20 @@
       idle.push_back(&server);
     }
   }
-  // In steps, so that small differences do not count.
+  // Rounded, so that small differences do not count.
   const auto step = [](const Server* server) {
     constexpr double kSteps = 5;
-    return std::lround(server->slowness_ * kSteps);
+    return std::lround(server->slow_factor_ * kSteps);
   };
   std::sort(idle.begin(), idle.end(), [&](const Server* a, const Server* b) {
-    return std::make_pair(step(a), RoomOf(*b)) <
-           std::make_pair(step(b), RoomOf(*a));
+    return std::make_pair(step(a), FreeCapacity(*b)) <
+           std::make_pair(step(b), FreeCapacity(*a));
   });
   return idle;
 }
 
-// Those that are about to end a call, when there is enough for another one.
-std::vector<StageBatcher::Server*> StageBatcher::ServersAboutToEnd(
+// Servers about to end a call, if enough pieces wait to fill another one.
+std::vector<StageBatcher::Server*> StageBatcher::ServersFinishingSoon(
     TimePoint now) {
   std::vector<Server*> servers;
   if (spec_.queue_ == 0 || waiting_ < spec_.batch_) {
@@ -53,8 +53,8 @@
   }
   for (auto& [id, server] : servers_) {
     if (!server.leaving_ && server.calls_ == 1 &&
-        server.failures_in_row_ == 0 && server.suspended_until_ <= now &&
-        server.free_at_ <= now + kSendAhead) {
+        server.consecutive_failures_ == 0 && server.suspended_until_ <= now &&
+        server.free_at_ <= now + kSendAheadTime) {
       servers.push_back(&server);
     }
   }
@@ -63,20 +63,21 @@
 
 std::vector<std::pair<uint64_t, StageBatcher::Task*>>
 StageBatcher::TasksInOrder(const Server& server,
-                           uint64_t least_room,
+                           uint64_t min_capacity,
                            TimePoint now) {
-  const auto nearby = NearbyByDomain(least_room, now);
+  const auto loads = LoadByDomain(min_capacity, now);
   const auto waits_elsewhere = [&](const Task& task) {
-    const auto domain = nearby.find(task.task_.near_domain_);
-    return domain != nearby.end() && WaitsForNearServer(task, domain->second);
+    const auto domain = loads.find(task.task_.near_domain_);
+    return domain != loads.end() && WaitsForNearServer(task, domain->second);
   };
   std::vector<std::pair<TimePoint, uint64_t>> order;
   for (const auto& [number, task] : tasks_) {
-    const bool is_near = IsNear(task, server);
+    const bool is_near = IsInNearDomain(task, server);
     if (task.waiting_ > 0 && (is_near || !waits_elsewhere(task))) {
       const TimePoint by_task = OrderOf(
           task.task_.target_, task.task_.priority_, task.task_.pieces_, now);
-      order.emplace_back(by_task + (is_near ? Duration() : kFarStep), number);
+      order.emplace_back(
+          by_task + (is_near ? Duration() : kRemoteServerPenalty), number);
     }
   }
   std::sort(order.begin(), order.end());
@@ -88,8 +89,8 @@
   return tasks;
 }
 
-// The least room with which a server could take anything.
-uint64_t StageBatcher::LeastRoomWanted() const {
+// The least free capacity with which a server can take any task.
+uint64_t StageBatcher::MinUsefulCapacity() const {
   uint64_t least = std::numeric_limits<uint64_t>::max();
   for (const auto& [number, task] : tasks_) {
     if (task.waiting_ == 0) {
@@ -97,7 +98,7 @@
     }
     const uint64_t bytes = task.task_.result_bytes_;
     least =
-        std::min(least, CanNeverGoWhole(task) ? bytes : task.waiting_ * bytes);
+        std::min(least, ExceedsAnyCall(task) ? bytes : task.waiting_ * bytes);
   }
   return least;
 }
@@ -106,22 +107,23 @@
   if (waiting_ == 0) {
     return std::nullopt;
   }
-  const uint64_t least = LeastRoomWanted();
+  const uint64_t least = MinUsefulCapacity();
   for (Server* server : IdleServers(now)) {
-    if (RoomOf(*server) < least) {
+    if (FreeCapacity(*server) < least) {
       continue;
     }
-    const auto pieces = ChooseFor(*server, least, now);
+    const auto pieces = ChoosePieces(*server, least, now);
     if (!pieces.empty()) {
       return Start(server, pieces, now);
     }
   }
-  const auto full = static_cast<size_t>(std::lround(spec_.batch_ * kAheadFill));
-  for (Server* server : ServersAboutToEnd(now)) {
-    if (RoomOf(*server) < least) {
+  const auto full =
+      static_cast<size_t>(std::lround(spec_.batch_ * kMinSendAheadFillRatio));
+  for (Server* server : ServersFinishingSoon(now)) {
+    if (FreeCapacity(*server) < least) {
       continue;
     }
-    const auto pieces = ChooseFor(*server, least, now);
+    const auto pieces = ChoosePieces(*server, least, now);
     if (pieces.size() >= full) {
       return Start(server, pieces, now);
     }
@@ -129,19 +131,19 @@
   return std::nullopt;
 }
 
-std::vector<StageBatcher::ChosenPiece> StageBatcher::ChooseFor(
+std::vector<StageBatcher::ChosenPiece> StageBatcher::ChoosePieces(
     const Server& server,
-    uint64_t least_room,
+    uint64_t min_capacity,
     TimePoint now) {
-  uint64_t room = RoomOf(server);
+  uint64_t room = FreeCapacity(server);
   std::vector<ChosenPiece> chosen;
-  for (const auto& [number, task] : TasksInOrder(server, least_room, now)) {
+  for (const auto& [number, task] : TasksInOrder(server, min_capacity, now)) {
     const uint64_t bytes = task->task_.result_bytes_;
-    if (!FitsWhole(*task, spec_.batch_ - chosen.size(), room)) {
+    if (!FitsCall(*task, spec_.batch_ - chosen.size(), room)) {
       continue;
     }
     for (uint32_t i = 0; i < task->pieces_.size(); ++i) {
-      if (task->pieces_[i].waits_ && chosen.size() < spec_.batch_ &&
+      if (task->pieces_[i].is_waiting_ && chosen.size() < spec_.batch_ &&
           bytes <= room) {
         room -= bytes;
         chosen.push_back({number, i, task});
@@ -159,54 +161,54 @@
                                TimePoint now) {
   Call call;
   StageBatch batch;
-  // A server that is at work, also for another gateway, begins with it later
-  // and fetches inputs then: they must not be freed before.
-  call.waits_ = server->calls_ > 0;
-  const bool may_wait = call.waits_ || server->may_be_busy_;
+  // A server that is busy, possibly for another gateway, starts this call later
+  // and fetches its inputs only then: they must not be released before.
+  call.is_waiting_ = server->calls_ > 0;
+  const bool may_wait = call.is_waiting_ || server->may_be_busy_;
   for (const auto& [number, index, task] : chosen) {
     Piece& piece = task->pieces_[index];
     call.reserved_bytes_ += task->task_.result_bytes_;
     call.pieces_.emplace_back(number, index);
     batch.pieces_.push_back(MakePiece(*task, index, now));
     SetWaiting(task, &piece, false);
-    ++piece.tries_;
+    ++piece.attempts_;
     ++piece.in_calls_;
-    task->last_begun_ = may_wait ? now + kLongestCall : now;
+    task->last_started_ = may_wait ? now + kMaxCallTime : now;
   }
   call.server_ = server->id_;
-  call.begun_ = now;
-  call.expected_ = Expected(*server, batch.pieces_.size());
-  call.slowness_ = server->slowness_;
+  call.started_ = now;
+  call.expected_ = ExpectedCallTime(*server, batch.pieces_.size());
+  call.slow_factor_ = server->slow_factor_;
   server->reserved_bytes_ += call.reserved_bytes_;
   ++server->calls_;
   server->free_at_ = std::max(server->free_at_, now) + call.expected_;
   batch.call_ = ++last_number_;
-  if (call.waits_) {
-    server->waiting_call_ = batch.call_;
+  if (call.is_waiting_) {
+    server->queued_call_ = batch.call_;
   }
   batch.server_ = server->id_;
   batch.server_name_ = server->name_;
   batch.address_ = server->address_;
-  batch.deadline_ = now + kLongestCall;
+  batch.deadline_ = now + kMaxCallTime;
   batch.kept_bytes_ = server->held_bytes_;
-  batch.room_left_ = RoomOf(*server);
+  batch.room_left_ = FreeCapacity(*server);
   calls_.emplace(batch.call_, std::move(call));
   return batch;
 }
 
-// The call that waited at the server has its turn.
-void StageBatcher::BeginWaitingCall(Server* server, TimePoint now) {
-  const auto it = calls_.find(std::exchange(server->waiting_call_, 0));
+// The server now runs the call that was queued there.
+void StageBatcher::MarkQueuedCallStarted(Server* server, TimePoint now) {
+  const auto it = calls_.find(std::exchange(server->queued_call_, 0));
   if (it == calls_.end()) {
     return;
   }
   Call& call = it->second;
-  call.waits_ = false;
-  call.begun_ = now;
+  call.is_waiting_ = false;
+  call.started_ = now;
   server->free_at_ = now + call.expected_;
   for (const auto& [number, index] : call.pieces_) {
     if (const auto task = tasks_.find(number); task != tasks_.end()) {
-      task->second.last_begun_ = now;
+      task->second.last_started_ = now;
     }
   }
 }
--- a/src/stages/stage_batcher_results.cc
+++ b/src/stages/stage_batcher_results.cc
@@ -8,29 +8,31 @@
 namespace citronlane {
 namespace {
 
-/// Keeps what is learned of a server away from 0.
-constexpr double kLeastSlowness = 0.05;
-/// A piece that failed this often is not tried again.
-constexpr uint32_t kMostTries = 4;
-/// Weight of the newest call in what is learned of a server.
-constexpr double kLearnWeight = 0.3;
-/// The same of what calls of the whole pool take: a second or two of calls.
-constexpr double kCallLearnWeight = 0.05;
-/// Pieces of a task that fail within this time are one repeat of its request.
-constexpr Duration kRepeatTogether = std::chrono::milliseconds(50);
-/// After a failure a server gets no call for this long, twice as long after
-/// each further one in a row.
-constexpr Duration kFirstSuspension = std::chrono::milliseconds(300);
-constexpr int kMostDoublings = 4;
-/// A server that refuses has calls of another gateway in hand.
-constexpr Duration kRefusedPause = std::chrono::milliseconds(60);
-/// A server without room, though none is missed, holds what another gateway
-/// made or what is about to be freed.
-constexpr Duration kUnseenTime = std::chrono::milliseconds(500);
+/// Avoids a division by zero.
+constexpr double kMinSlowFactor = 0.05;
+/// A piece that was sent this often is not sent again.
+constexpr uint32_t kMaxAttempts = 4;
+/// Weight of the newest call in a server's slow factor.
+constexpr double kServerSampleWeight = 0.3;
+/// Weight of the newest call in the pool's average time.
+constexpr double kPoolSampleWeight = 0.05;
+/// Pieces of a task that fail within this time count as one repeat.
+constexpr Duration kRepeatWindow = std::chrono::milliseconds(50);
+/// After a failure a server gets no call for this long; the time doubles with
+/// each consecutive failure.
+constexpr Duration kInitialSuspension = std::chrono::milliseconds(300);
+constexpr int kMaxDoublings = 4;
+/// A server that refuses a call gets none for this long: it runs calls of
+/// another gateway.
+constexpr Duration kRefusalPause = std::chrono::milliseconds(60);
+/// If a server is out of capacity though it should not be, it holds results of
+/// another gateway, or some about to be deleted, and the piece's size counts as
+/// occupied for this long.
+constexpr Duration kUnknownResultTime = std::chrono::milliseconds(500);
 
 }  // namespace
 
-// Ends the call at its server; null when that is gone.
+// Ends the call at its server; returns null when the server is not listed.
 StageBatcher::Server* StageBatcher::ReleaseCall(uint64_t number,
                                                 const Call& call,
                                                 TimePoint now) {
@@ -39,7 +41,7 @@
     return nullptr;
   }
   Server& server = found->second;
-  // A server that was away from the list has begun to count anew.
+  // A server that was absent from the list has restarted its counts.
   server.reserved_bytes_ -=
       std::min(server.reserved_bytes_, call.reserved_bytes_);
   if (!call.hedged_ && server.calls_ > 0) {
@@ -48,16 +50,18 @@
   if (server.calls_ == 0) {
     server.free_at_ = now;
   }
-  EndTurn(&server, number, now);
+  StartQueuedCall(&server, number, now);
   return &server;
 }
 
-// The call is over, or was given up: the one that waits behind it has its turn.
-void StageBatcher::EndTurn(Server* server, uint64_t number, TimePoint now) {
-  if (server->waiting_call_ == number) {
-    server->waiting_call_ = 0;
-  } else if (server->waiting_call_ != 0) {
-    BeginWaitingCall(server, now);
+// The call ended or was hedged: the server runs the one queued behind it.
+void StageBatcher::StartQueuedCall(Server* server,
+                                   uint64_t number,
+                                   TimePoint now) {
+  if (server->queued_call_ == number) {
+    server->queued_call_ = 0;
+  } else if (server->queued_call_ != 0) {
+    MarkQueuedCallStarted(server, now);
   }
 }
 
@@ -72,18 +76,19 @@
   calls_.erase(it);
   Server* server = ReleaseCall(number, call, now);
   if (server != nullptr) {
-    server->failures_in_row_ = 0;
+    server->consecutive_failures_ = 0;
     server->may_be_busy_ = false;
-    const auto took = static_cast<double>((now - call.begun_).count());
-    const double usual = static_cast<double>(call.expected_.count()) /
-                         std::max(call.slowness_, kLeastSlowness);
-    if (usual > 0) {
-      server->slowness_ += kLearnWeight * (took / usual - server->slowness_);
+    const auto elapsed = static_cast<double>((now - call.started_).count());
+    const double declared = static_cast<double>(call.expected_.count()) /
+                            std::max(call.slow_factor_, kMinSlowFactor);
+    if (declared > 0) {
+      server->slow_factor_ +=
+          kServerSampleWeight * (elapsed / declared - server->slow_factor_);
     }
   }
   if (!call.hedged_) {
-    usual_call_ += std::chrono::duration_cast<Duration>(
-        kCallLearnWeight * (now - call.begun_ - usual_call_));
+    average_call_time_ += std::chrono::duration_cast<Duration>(
+        kPoolSampleWeight * (now - call.started_ - average_call_time_));
   }
   for (size_t i = 0; i < call.pieces_.size(); ++i) {
     const auto& [task, piece] = call.pieces_[i];
@@ -103,7 +108,7 @@
   const uint64_t bytes =
       it == tasks_.end() ? 0 : it->second.task_.result_bytes_;
   if (result.outcome_ == Outcome::kDone && server != nullptr) {
-    KeepResult(server, result.handle_, bytes, now);
+    RecordHeldResult(server, result.handle_, bytes, now);
   }
   if (it == tasks_.end()) {
     if (result.outcome_ == Outcome::kDone) {
@@ -135,7 +140,7 @@
       return;
     case Outcome::kNoRoom:
       if (server != nullptr) {
-        TakeNoRoom(server, bytes, now);
+        OnOutOfCapacity(server, bytes, now);
       }
       Requeue(number, index, true, now);
       return;
@@ -145,35 +150,39 @@
   }
 }
 
-void StageBatcher::KeepResult(Server* server,
-                              const std::string& handle,
-                              uint64_t bytes,
-                              TimePoint now) {
+void StageBatcher::RecordHeldResult(Server* server,
+                                    const std::string& handle,
+                                    uint64_t bytes,
+                                    TimePoint now) {
   server->results_[handle] = Result{bytes, now + spec_.result_life_};
   server->held_bytes_ += bytes;
-  keepers_[handle] = server->id_;
+  holders_[handle] = server->id_;
 }
 
-// Something lies there that this pool can't name.
-void StageBatcher::TakeRoom(Server* server, uint64_t bytes, TimePoint until) {
+// Counts capacity as occupied by results whose handles are unknown.
+void StageBatcher::OccupyCapacity(Server* server,
+                                  uint64_t bytes,
+                                  TimePoint until) {
   server->results_["unnamed " + std::to_string(++last_number_)] =
       Result{bytes, until};
   server->held_bytes_ += bytes;
 }
 
-// A piece was dropped for want of room. Results of calls that were under way
-// when a gateway was killed are known to nobody, and take room for as long as
-// results are kept. Half of the room is about what calls
-// under way can fill.
-void StageBatcher::TakeNoRoom(Server* server, uint64_t bytes, TimePoint now) {
-  server->suspended_until_ = now + kRefusedPause;
+// A piece was dropped because the server is out of capacity. Results of calls
+// in flight when the previous owner was killed are known to no gateway, and
+// occupy capacity until they expire; such calls can fill about half of it.
+void StageBatcher::OnOutOfCapacity(Server* server,
+                                   uint64_t bytes,
+                                   TimePoint now) {
+  server->suspended_until_ = now + kRefusalPause;
   const bool may_be_left =
       taken_over_ && now - *taken_over_ < spec_.result_life_;
-  if (may_be_left && !server->has_left_results_) {
-    server->has_left_results_ = true;
-    TakeRoom(server, spec_.room_bytes_ / 2, *taken_over_ + spec_.result_life_);
+  if (may_be_left && !server->has_reserved_for_previous_owner_) {
+    server->has_reserved_for_previous_owner_ = true;
+    OccupyCapacity(server, spec_.room_bytes_ / 2,
+                   *taken_over_ + spec_.result_life_);
   } else if (!may_be_left) {
-    TakeRoom(server, bytes, now + kUnseenTime);
+    OccupyCapacity(server, bytes, now + kUnknownResultTime);
   }
 }
 
@@ -186,29 +195,29 @@
     return;
   }
   Piece& piece = it->second.pieces_[index];
-  if (piece.waits_ || !piece.handle_.empty()) {
+  if (piece.is_waiting_ || !piece.handle_.empty()) {
     return;
   }
   if (it->second.inputs_taken_) {
-    // Its inputs are freed: only the call that has them can still make it.
+    // Its inputs were released: only a call that fetched them can still run it.
     if (piece.in_calls_ == 0) {
       End(number, StageOutcome::Result::kInputGone);
     }
     return;
   }
-  if (piece.tries_ >= kMostTries) {
+  if (piece.attempts_ >= kMaxAttempts) {
     if (piece.in_calls_ == 0) {
       End(number, StageOutcome::Result::kFailed);
     }
     return;
   }
-  // One repeat a task at a time: its pieces go together again.
-  if (is_repeat && now >= it->second.repeat_paid_until_) {
+  // The pieces of a task that fail together count as one repeat.
+  if (is_repeat && now >= it->second.repeat_allowed_until_) {
     if (!may_repeat_(now)) {
-      parked_.emplace(number, index);
+      awaiting_repeat_.emplace(number, index);
       return;
     }
-    it->second.repeat_paid_until_ = now + kRepeatTogether;
+    it->second.repeat_allowed_until_ = now + kRepeatWindow;
   }
   SetWaiting(&it->second, &piece, true);
 }
@@ -234,22 +243,22 @@
   calls_.erase(it);
   if (Server* server = ReleaseCall(number, call, now)) {
     if (failure == CallFailure::kRefused) {
-      server->suspended_until_ = now + kRefusedPause;
+      server->suspended_until_ = now + kRefusalPause;
       server->may_be_busy_ = true;
     } else {
       Suspend(server, now);
     }
     if (failure == CallFailure::kLost) {
-      TakeRoom(server, call.reserved_bytes_, now + spec_.result_life_);
+      OccupyCapacity(server, call.reserved_bytes_, now + spec_.result_life_);
     }
   }
   for (const auto& [task, piece] : call.pieces_) {
-    if (const auto owner = tasks_.find(task); owner != tasks_.end()) {
-      --owner->second.pieces_[piece].in_calls_;
-      owner->second.may_have_run_ |= failure == CallFailure::kLost;
+    if (const auto found = tasks_.find(task); found != tasks_.end()) {
+      --found->second.pieces_[piece].in_calls_;
+      found->second.may_have_run_ |= failure == CallFailure::kLost;
       if (failure == CallFailure::kNotSent) {
-        // Nobody saw it: this was no try.
-        --owner->second.pieces_[piece].tries_;
+        // It reached no server, so it is not an attempt.
+        --found->second.pieces_[piece].attempts_;
       }
       Requeue(task, piece, failure != CallFailure::kNotSent, now);
     }
@@ -257,12 +266,12 @@
 }
 
 void StageBatcher::Suspend(Server* server, TimePoint now) {
-  const int doublings = std::min(server->failures_in_row_, kMostDoublings);
-  server->suspended_until_ = now + kFirstSuspension * (1 << doublings);
-  ++server->failures_in_row_;
+  const int doublings = std::min(server->consecutive_failures_, kMaxDoublings);
+  server->suspended_until_ = now + kInitialSuspension * (1 << doublings);
+  ++server->consecutive_failures_;
 }
 
-// Calls that no server has seen, or that it refused, ran nothing.
+// Calls that were not sent or that the server refused have run nothing.
 bool StageBatcher::HasNotRun(const Task& task) {
   return !task.may_have_run_ &&
          std::all_of(task.pieces_.begin(), task.pieces_.end(),
@@ -293,7 +302,7 @@
 }
 
 std::map<std::string, std::vector<std::string>> StageBatcher::TakeUnwanted() {
-  return std::exchange(unwanted_, {});
+  return std::exchange(discarded_, {});
 }
 
 void StageBatcher::Free(absl::Span<const std::string> handles) {
@@ -303,12 +312,12 @@
 }
 
 void StageBatcher::Discard(const std::string& handle) {
-  unwanted_[std::string(MakerAddress(handle))].push_back(handle);
-  const auto keeper = keepers_.find(handle);
-  if (keeper == keepers_.end()) {
+  discarded_[std::string(MakerAddress(handle))].push_back(handle);
+  const auto holder = holders_.find(handle);
+  if (holder == holders_.end()) {
     return;
   }
-  if (const auto server = servers_.find(keeper->second);
+  if (const auto server = servers_.find(holder->second);
       server != servers_.end()) {
     const auto result = server->second.results_.find(handle);
     if (result != server->second.results_.end()) {
@@ -316,7 +325,7 @@
       server->second.results_.erase(result);
     }
   }
-  keepers_.erase(keeper);
+  holders_.erase(holder);
 }
 
 }  // namespace citronlane
--- a/src/stages/stage_batcher_time.cc
+++ b/src/stages/stage_batcher_time.cc
@@ -7,24 +7,24 @@
 namespace citronlane {
 namespace {
 
-/// A call that takes this many times as long as expected is on a server that
-/// hangs: its pieces are given to another one as well.
+/// A call is late after this multiple of its expected time plus the margin: its
+/// server may hang.
 constexpr double kLateFactor = 2.2;
-constexpr Duration kLateReserve = std::chrono::milliseconds(150);
-/// By then a server whose turn for a call has come has fetched its inputs: a
-/// few megabytes over links of gigabits, and a few milliseconds of way.
-constexpr Duration kFetchTime = std::chrono::milliseconds(60);
+constexpr Duration kLateMargin = std::chrono::milliseconds(150);
+/// Time in which a server fetches the inputs of a call it has started: a few
+/// megabytes over gigabit links, and a few milliseconds of latency.
+constexpr Duration kInputFetchTime = std::chrono::milliseconds(60);
 
 }  // namespace
 
-// What can't be done any more takes no places in calls: late tasks may wait
-// longer than their inputs last.
-void StageBatcher::EndHopelessTasks(TimePoint now) {
+// Ends tasks that can not be done any more, so that they take no place in
+// calls: the deadline is too close, or the inputs expired while they waited.
+void StageBatcher::EndUnfinishableTasks(TimePoint now) {
   std::vector<uint64_t> late;
   std::vector<uint64_t> without_inputs;
   for (const auto& [number, task] : tasks_) {
-    const bool is_unbegun = task.waiting_ == task.task_.pieces_;
-    const Duration least = is_unbegun ? spec_.call_time_ : Duration();
+    const bool is_unsent = task.waiting_ == task.task_.pieces_;
+    const Duration least = is_unsent ? spec_.call_time_ : Duration();
     if (task.task_.deadline_ <= now + least) {
       late.push_back(number);
     } else if (task.waiting_ > 0 && task.task_.inputs_until_ <= now) {
@@ -40,7 +40,7 @@
 }
 
 void StageBatcher::Tick(TimePoint now) {
-  EndHopelessTasks(now);
+  EndUnfinishableTasks(now);
   for (auto& [id, server] : servers_) {
     for (auto it = server.results_.begin(); it != server.results_.end();) {
       if (it->second.expires_ > now) {
@@ -48,7 +48,7 @@
         continue;
       }
       server.held_bytes_ -= it->second.bytes_;
-      keepers_.erase(it->first);
+      holders_.erase(it->first);
       it = server.results_.erase(it);
     }
   }
@@ -56,43 +56,44 @@
     it = it->second.deadline_ <= now ? announced_.erase(it) : std::next(it);
   }
   HedgeLateCalls(now);
-  RequeueParked(now);
-  NoteTakenInputs(now);
+  RequeueAwaitingRepeat(now);
+  RecordFetchedInputs(now);
 }
 
-// A server that hangs answers nothing for many seconds; the pieces it holds go
-// to another one too, and whichever result comes first is taken.
+// A server that hangs sends no reply for many seconds. The pieces of its late
+// calls wait for another call too, and the first result of each is used.
 void StageBatcher::HedgeLateCalls(TimePoint now) {
   for (auto& [number, call] : calls_) {
     const auto late = std::chrono::duration_cast<Duration>(
-        call.expected_ * kLateFactor + kLateReserve);
-    if (call.hedged_ || now - call.begun_ < late) {
+        call.expected_ * kLateFactor + kLateMargin);
+    if (call.hedged_ || now - call.started_ < late) {
       continue;
     }
     call.hedged_ = true;
     if (const auto found = servers_.find(call.server_);
         found != servers_.end() && found->second.calls_ > 0) {
-      // Slow, or only this answer was lost: the next call will tell.
+      // Either the server is slow or only this reply was lost: the next call
+      // will show, so the server may take it.
       Server& server = found->second;
-      server.slowness_ = std::max(server.slowness_, kLateFactor);
+      server.slow_factor_ = std::max(server.slow_factor_, kLateFactor);
       --server.calls_;
-      EndTurn(&server, number, now);
+      StartQueuedCall(&server, number, now);
     }
     for (const auto& [task, piece] : call.pieces_) {
-      if (const auto owner = tasks_.find(task);
-          owner != tasks_.end() && owner->second.task_.deadline_ > now) {
+      if (const auto found = tasks_.find(task);
+          found != tasks_.end() && found->second.task_.deadline_ > now) {
         Requeue(task, piece, true, now);
       }
     }
   }
 }
 
-// What a stage works on can be freed as soon as it was fetched, well before the
-// stage is done: room for results bounds what the pool before can make.
-void StageBatcher::NoteTakenInputs(TimePoint now) {
+// Inputs can be released as soon as they were fetched, well before the stage is
+// done: the capacity for results limits the throughput of the previous pool.
+void StageBatcher::RecordFetchedInputs(TimePoint now) {
   for (auto& [number, task] : tasks_) {
     if (!task.task_.has_inputs_ || task.inputs_taken_ ||
-        now - task.last_begun_ < kFetchTime) {
+        now - task.last_started_ < kInputFetchTime) {
       continue;
     }
     const bool all_sent = std::all_of(
@@ -101,18 +102,18 @@
         });
     if (all_sent) {
       task.inputs_taken_ = true;
-      taken_.push_back(number);
+      tasks_with_inputs_taken_.push_back(number);
     }
   }
 }
 
 std::vector<uint64_t> StageBatcher::TakeTasksWithInputsTaken() {
-  return std::exchange(taken_, {});
+  return std::exchange(tasks_with_inputs_taken_, {});
 }
 
-// Pieces that may not be repeated yet are tried again until they may.
-void StageBatcher::RequeueParked(TimePoint now) {
-  for (const auto& [task, piece] : std::exchange(parked_, {})) {
+// Checks again whether pieces that wait for a repeat may be sent.
+void StageBatcher::RequeueAwaitingRepeat(TimePoint now) {
+  for (const auto& [task, piece] : std::exchange(awaiting_repeat_, {})) {
     Requeue(task, piece, true, now);
   }
 }
--- a/src/stages/stage_reply_check.cc
+++ b/src/stages/stage_reply_check.cc
@@ -11,45 +11,46 @@
   return std::hash<std::string_view>()(text);
 }
 
-uint64_t NameOf(const StagePiece& piece) {
+uint64_t HashOf(const StagePiece& piece) {
   return HashOf(piece.request_id_ + "/" + std::to_string(piece.stage_) + "/" +
                 std::to_string(piece.piece_));
 }
 
 }  // namespace
 
-StageReplyCheck::StageReplyCheck(Duration memory) : memory_(memory) {}
+StageReplyCheck::StageReplyCheck(Duration retention) : retention_(retention) {}
 
 StageReplyCheck::Match StageReplyCheck::Take(
     absl::Span<const StagePieceResult> results,
     absl::Span<const StagePiece> pieces,
     TimePoint now) {
   if (results.size() != pieces.size()) {
-    return Match::kOtherSize;
+    return Match::kSizeMismatch;
   }
-  Forget(now);
-  bool names_new = false;
-  bool names_known = false;
+  Expire(now);
+  bool has_new_handle = false;
+  bool has_known_handle = false;
   for (size_t i = 0; i < results.size(); ++i) {
     if (results[i].handle_.empty()) {
       continue;
     }
-    const auto seen = seen_.find(HashOf(results[i].handle_));
-    if (seen == seen_.end()) {
-      names_new = true;
-    } else if (seen->second == NameOf(pieces[i])) {
-      names_known = true;
+    const auto known = piece_by_handle_.find(HashOf(results[i].handle_));
+    if (known == piece_by_handle_.end()) {
+      has_new_handle = true;
+    } else if (known->second == HashOf(pieces[i])) {
+      has_known_handle = true;
     } else {
       return Match::kSeenBefore;
     }
   }
   Remember(results, pieces, now);
-  return names_new && !names_known ? Match::kOwn : Match::kMayBeOthers;
+  return has_new_handle && !has_known_handle ? Match::kOwn
+                                             : Match::kMayBeOthers;
 }
 
-void StageReplyCheck::Forget(TimePoint now) {
-  while (!in_order_.empty() && now - in_order_.front().first > memory_) {
-    seen_.erase(in_order_.front().second);
+void StageReplyCheck::Expire(TimePoint now) {
+  while (!in_order_.empty() && now - in_order_.front().first > retention_) {
+    piece_by_handle_.erase(in_order_.front().second);
     in_order_.pop_front();
   }
 }
@@ -63,7 +64,7 @@
       continue;
     }
     const uint64_t hash = HashOf(handle);
-    if (seen_.try_emplace(hash, NameOf(pieces[i])).second) {
+    if (piece_by_handle_.try_emplace(hash, HashOf(pieces[i])).second) {
       in_order_.emplace_back(now, hash);
     }
   }
--- a/tests/unit-stages.cc
+++ b/tests/unit-stages.cc
@@ -19,7 +19,7 @@
 
 constexpr uint64_t kResultBytes = 100;
 
-/// A pool of two servers under a hand-driven clock.
+/// A pool of two servers with a simulated clock.
 class Pool {
  public:
   Pool() : batcher_(Spec(), [this](TimePoint) { return may_repeat_; }) {
@@ -124,14 +124,14 @@
 TEST_CASE("stage batches") {
   Pool pool;
 
-  SECTION("an idle server gets what is there at once") {
+  SECTION("an idle server gets all waiting pieces at once") {
     pool.Add(3);
     const auto batches = pool.Start();
     REQUIRE(batches.size() == 1);
     CHECK(batches[0].pieces_.size() == 3);
   }
 
-  SECTION("pieces of many requests meet when all servers are busy") {
+  SECTION("pieces of many requests share a call when all servers are busy") {
     pool.Add(1);
     pool.Add(1);
     const auto first = pool.Start();
@@ -149,7 +149,7 @@
     CHECK(next[0].pieces_.size() == 8);
   }
 
-  SECTION("a task goes whole or waits for the next call") {
+  SECTION("a task is not split between calls") {
     pool.SetServers({{"s1", "a"}});
     pool.Add(6);
     pool.Add(3, seconds(3));
@@ -159,7 +159,7 @@
     CHECK(pool.batcher_.waiting_pieces() == 3);
   }
 
-  SECTION("a task larger than any call is cut") {
+  SECTION("a task larger than any call is split") {
     pool.Add(10);
     size_t pieces = 0;
     for (const auto& batch : pool.Start()) {
@@ -168,7 +168,7 @@
     CHECK(pieces == 10);
   }
 
-  SECTION("what can meet its target goes before what is late already") {
+  SECTION("tasks that can meet their target precede late ones") {
     pool.SetServers({{"s1", "a"}});
     const uint64_t blocker = pool.Add(8);
     const auto first = pool.Start();
@@ -188,11 +188,11 @@
     CHECK(late != in_time);
   }
 
-  SECTION("a leaving server gets nothing") {
-    BackendServer leaving;
-    leaving.id_ = "s1";
-    leaving.leaving_ = true;
-    const BackendServer* const list[] = {&leaving};
+  SECTION("a draining server gets no calls") {
+    BackendServer draining;
+    draining.id_ = "s1";
+    draining.leaving_ = true;
+    const BackendServer* const list[] = {&draining};
     pool.batcher_.SetServers(list);
     pool.Add(1);
     CHECK(pool.Start().empty());
@@ -203,7 +203,7 @@
   Pool pool;
   pool.SetServers({{"s1", "a"}});
 
-  SECTION("every piece's handle comes back in order") {
+  SECTION("the handles of all pieces are returned in order") {
     const uint64_t task = pool.Add(3);
     pool.Finish(pool.Start().at(0));
     const auto outcomes = pool.batcher_.TakeOutcomes();
@@ -214,7 +214,7 @@
     CHECK(outcomes[0].handles_[2].find("r1-2") != std::string::npos);
   }
 
-  SECTION("results of a task that nobody wants any more are freed") {
+  SECTION("results of a cancelled task are discarded") {
     const uint64_t task = pool.Add(2);
     const auto batch = pool.Start().at(0);
     pool.batcher_.Cancel(task);
@@ -226,7 +226,7 @@
   StagePoolSpec tight = Pool::Spec();
   tight.room_bytes_ = 20 * kResultBytes;
 
-  SECTION("room for results bounds calls until results are freed") {
+  SECTION("the capacity for results bounds calls until results are freed") {
     pool.batcher_.SetSpec(tight);
     std::vector<std::string> handles;
     for (int i = 0; i < 2; ++i) {
@@ -243,7 +243,7 @@
     CHECK(pool.Start().size() == 1);
   }
 
-  SECTION("a server drops results by itself after their life") {
+  SECTION("results expire at the server after their lifetime") {
     pool.batcher_.SetSpec(tight);
     for (int i = 0; i < 2; ++i) {
       pool.Add(8);
@@ -254,7 +254,7 @@
     CHECK(pool.Start().size() == 1);
   }
 
-  SECTION("what a lost call made takes room until it expires") {
+  SECTION("results of a lost call occupy capacity until they expire") {
     pool.SetServers({{"s1", "a"}});
     StagePoolSpec spec = Pool::Spec();
     spec.room_bytes_ = 1000;
@@ -269,14 +269,14 @@
     CHECK(pool.Start().size() == 1);
   }
 
-  SECTION("what another gateway left takes room until it has expired") {
+  SECTION("results of the previous owner occupy capacity until they expire") {
     pool.SetServers({{"s1", "a"}});
     StagePoolSpec spec = Pool::Spec();
     spec.room_bytes_ = 1000;
     pool.batcher_.SetSpec(spec);
     pool.batcher_.TakeOver(pool.now_);
     pool.Add(5);
-    // Nothing speaks against it yet.
+    // The server has not reported to be out of capacity yet.
     auto batches = pool.Start();
     REQUIRE(batches.size() == 1);
     pool.Finish(batches[0], Outcome::kNoRoom);
@@ -285,13 +285,13 @@
     pool.Pass(milliseconds(200));
     batches = pool.Start();
     REQUIRE(batches.size() == 1);
-    // By now it has expired.
+    // Results of the previous owner have expired by now.
     pool.Finish(batches[0], Outcome::kNoRoom);
     pool.Pass(milliseconds(700));
     CHECK(pool.Start().size() == 1);
   }
 
-  SECTION("a server without room gets less for a while") {
+  SECTION("a server out of capacity gets fewer pieces for a while") {
     pool.SetServers({{"s1", "a"}});
     StagePoolSpec spec = Pool::Spec();
     spec.room_bytes_ = 1000;
@@ -306,7 +306,7 @@
     CHECK(pool.Start().size() == 1);
   }
 
-  SECTION("inputs may be freed once servers have fetched them") {
+  SECTION("inputs may be released once servers have fetched them") {
     const uint64_t task = pool.AddWithInputs(2);
     const auto batch = pool.Start().at(0);
     pool.Pass(milliseconds(50));
@@ -314,7 +314,7 @@
     pool.Pass(milliseconds(100));
     CHECK(pool.batcher_.TakeTasksWithInputsTaken() ==
           std::vector<uint64_t>{task});
-    // A call lost after that can't be made again from what is gone.
+    // A call that is lost after that can not be repeated without its inputs.
     pool.batcher_.Failed(batch.call_, Failure::kLost, pool.now_);
     const auto outcomes = pool.batcher_.TakeOutcomes();
     REQUIRE(outcomes.size() == 1);
@@ -323,8 +323,8 @@
   }
 }
 
-// A pool changes hands while its servers are at work on the calls of the
-// gateway that had it.
+// A new owner's first call may be queued behind calls of the previous owner, so
+// that the server fetches its inputs later than the new owner can know.
 TEST_CASE("inputs of a pool that was taken over") {
   Pool pool;
   pool.SetServers({{"s1", "a"}});
@@ -337,14 +337,14 @@
     CHECK(pool.batcher_.TakeTasksWithInputsTaken().empty());
     pool.Finish(first.at(0));
 
-    SECTION("and are freed as soon as they are fetched from then on") {
+    SECTION("and are released as soon as they are fetched from then on") {
       pool.AddWithInputs(2);
       REQUIRE(pool.Start().size() == 1);
       pool.Pass(milliseconds(100));
       CHECK(pool.batcher_.TakeTasksWithInputsTaken().size() == 1);
     }
   }
-  SECTION("are kept too where a server was full") {
+  SECTION("are also kept after a server refused a call") {
     pool.AddWithInputs(2);
     const auto refused = pool.Start();
     pool.batcher_.Failed(refused.at(0).call_, Failure::kRefused, pool.now_);
@@ -358,12 +358,12 @@
 TEST_CASE("stage failures") {
   Pool pool;
 
-  SECTION("a call whose answer is lost does not block its server") {
+  SECTION("a call whose reply is lost does not block its server") {
     pool.SetServers({{"s1", "a"}});
     pool.Add(8);
     const auto lost = pool.Start().at(0);
     pool.Pass(seconds(1));
-    // Given up: the pieces are asked for again, at the same server.
+    // The call is late: its pieces are sent again, to the same server.
     const auto again = pool.Start();
     REQUIRE(again.size() == 1);
     CHECK(again[0].pieces_.size() == 8);
@@ -378,7 +378,7 @@
     CHECK_FALSE(pool.Start().empty());
   }
 
-  SECTION("the second answer to a piece is freed, not used") {
+  SECTION("the second result of a piece is discarded") {
     pool.Add(2);
     const auto slow = pool.Start().at(0);
     pool.Pass(seconds(1));
@@ -391,7 +391,7 @@
     CHECK(pool.batcher_.TakeUnwanted().at(slow.address_).size() == 2);
   }
 
-  SECTION("a server that is away from the list counts anew") {
+  SECTION("a server that was absent from the list restarts its counts") {
     pool.SetServers({{"s1", "a"}});
     pool.Add(8);
     const auto call = pool.Start().at(0);
@@ -404,9 +404,9 @@
     CHECK(pool.Start().size() == 1);
   }
 
-  SECTION("a server that starts again has nothing of its former start") {
+  SECTION("a new incarnation of a server holds no results of the previous") {
     pool.SetServers({{"s1", "a"}});
-    // Room is full, and a call is in hand.
+    // The capacity is used up, and a call is in flight.
     for (int i = 0; i < 25; ++i) {
       pool.Add(8);
     }
@@ -419,7 +419,7 @@
     CHECK(next[0].server_ == "s1@7");
     CHECK(next[0].server_name_ == "s1");
     CHECK(next[0].kept_bytes_ == 0);
-    // The call of the former start is lost: it may have run.
+    // The call of the previous incarnation is lost: it may have run.
     pool.batcher_.Failed(lost.call_, Failure::kLost, pool.now_);
     pool.Finish(next[0]);
     const auto after = pool.Start();
@@ -427,7 +427,7 @@
     CHECK(after[0].server_ == "s1@7");
   }
 
-  SECTION("a call that no server has seen is no try") {
+  SECTION("a call that reached no server is not counted as an attempt") {
     pool.Add(1);
     for (int i = 0; i < 10; ++i) {
       const auto batches = pool.Start();
@@ -456,7 +456,8 @@
     CHECK(pool.Start().size() == 1);
   }
 
-  SECTION("a task past its deadline ends, and says whether anything ran") {
+  SECTION(
+      "a task past its deadline ends, and reports whether it may have run") {
     pool.Add(1);
     pool.Pass(seconds(7));
     auto outcomes = pool.batcher_.TakeOutcomes();
@@ -471,7 +472,7 @@
     CHECK_FALSE(outcomes[0].not_run_);
   }
 
-  SECTION("a task whose inputs are dropped before its call ends") {
+  SECTION("a waiting task ends when its inputs expire") {
     pool.SetServers({{"s1", "a"}});
     pool.Add(8);
     REQUIRE(pool.Start().size() == 1);
@@ -493,7 +494,7 @@
     CHECK(outcomes[0].not_run_);
   }
 
-  SECTION("a task that no call could end in time ends at once") {
+  SECTION("a task that no call can finish before its deadline ends early") {
     pool.SetServers({{"s1", "a"}});
     pool.Add(8);
     REQUIRE(pool.Start().size() == 1);
@@ -510,7 +511,7 @@
     CHECK(outcomes[0].result_ == Result::kLate);
   }
 
-  SECTION("a leaving gateway hands back only what nobody has seen") {
+  SECTION("a gateway that shuts down returns only tasks that were not sent") {
     pool.SetServers({{"s1", "a"}});
     const uint64_t sent = pool.Add(8);
     pool.Start();
@@ -534,7 +535,7 @@
     CHECK(pool.Start().at(0).server_ == "s2");
   }
 
-  SECTION("a busy one is waited for until it should be done") {
+  SECTION("a task waits for a busy one until it should be done") {
     pool.Add(1, seconds(2), "b");
     const auto first = pool.Start();
     REQUIRE(first.size() == 1);
@@ -555,7 +556,7 @@
     }
   }
 
-  SECTION("a busy one is not waited for where the target would be missed") {
+  SECTION("a task does not wait for a busy one if it would miss its target") {
     pool.Add(1, seconds(2), "b");
     REQUIRE(pool.Start().size() == 1);
     // A call there would end after 210 + 200 ms.
@@ -566,9 +567,9 @@
   }
 
   SECTION("results of a full call stay in their failure domain") {
-    // A call of the stage before ends, and its three requests want their next
-    // pieces made where it ended: more than one call's pieces in all, within
-    // what the two servers there can carry. The other domain's server is idle.
+    // A call of the previous stage ends, and the next pieces of its three
+    // requests should run in its domain: more than one call can carry, but not
+    // more than the two servers there. The other domain's server is idle.
     pool.SetServers({{"s1", "a"}, {"s2", "b"}, {"s3", "b"}});
     pool.Add(8, seconds(2), "b");
     pool.Add(8, seconds(2), "b");
@@ -584,7 +585,7 @@
     REQUIRE(next.size() == 1);
     CHECK(next[0].server_ != "s1");
 
-    SECTION("unless that is more than its servers can carry") {
+    SECTION("unless they exceed what its servers can carry") {
       pool.Add(8, seconds(2), "b");
       const auto far = pool.Start();
       REQUIRE(far.size() == 1);
@@ -592,7 +593,7 @@
     }
   }
 
-  SECTION("a domain without servers is not waited for") {
+  SECTION("a task does not wait for a domain without servers") {
     pool.Add(1, seconds(2), "c");
     CHECK(pool.Start().size() == 1);
   }
@@ -612,8 +613,8 @@
 
 TEST_CASE("stage waits") {
   Pool pool;
-  const auto expected = [](const Pool& asked, const StageForecast& forecast) {
-    return asked.batcher_.ExpectedWait(forecast, asked.now_);
+  const auto expected = [](const Pool& other, const StageForecast& forecast) {
+    return other.batcher_.ExpectedWait(forecast, other.now_);
   };
   CHECK(expected(pool, ForecastOf(pool, 8)).all_ == Duration());
   for (int i = 0; i < 40; ++i) {
@@ -623,12 +624,12 @@
   const StageWait wait = expected(pool, ForecastOf(pool, 8));
   CHECK(wait.all_ > seconds(4));
   CHECK(wait.on_time_ == wait.all_);
-  // Those that are late no longer stand before a new one.
+  // Late tasks do not precede a new one that is in time.
   pool.Pass(milliseconds(2000));
   CHECK(expected(pool, ForecastOf(pool, 8)).on_time_ == Duration());
   CHECK(expected(pool, ForecastOf(pool, 8)).all_ > seconds(4));
 
-  SECTION("less urgent tasks do not stand before more urgent ones") {
+  SECTION("less urgent tasks do not precede more urgent ones") {
     Pool other;
     StageTask task;
     task.pieces_ = 80;
@@ -646,7 +647,7 @@
     CHECK(behind(9) == behind(2));
   }
 
-  SECTION("without servers nobody knows") {
+  SECTION("are a long fixed time without servers") {
     pool.SetServers({});
     CHECK(expected(pool, ForecastOf(pool, 8)).on_time_ > seconds(1));
   }
@@ -668,23 +669,23 @@
     CHECK(pool.batcher_.waiting_pieces() == 0);
   }
 
-  SECTION("are not waited for once they are withdrawn") {
+  SECTION("do not count once they are withdrawn") {
     pool.batcher_.Withdraw(announced);
     CHECK(expected(ForecastOf(pool, 80)).all_ == Duration());
   }
 
-  SECTION("are not waited for once nobody wants them") {
+  SECTION("do not count after their deadline") {
     pool.Pass(milliseconds(6010));
     CHECK(expected(ForecastOf(pool, 80)).all_ == Duration());
   }
 
-  SECTION("stand behind what must be done sooner") {
+  SECTION("do not precede pieces with an earlier target") {
     CHECK(expected(ForecastOf(pool, 80, milliseconds(900))).on_time_ ==
           Duration());
     CHECK(expected(ForecastOf(pool, 80, milliseconds(900))).all_ == wait.all_);
   }
 
-  SECTION("that are late already stand behind all that is not") {
+  SECTION("that are late do not precede pieces that are in time") {
     pool.batcher_.Withdraw(announced);
     pool.batcher_.Announce(ForecastOf(pool, 80, Duration()));
     CHECK(expected(ForecastOf(pool, 80)).on_time_ == Duration());
@@ -692,7 +693,7 @@
   }
 }
 
-TEST_CASE("what a stage call takes") {
+TEST_CASE("time of a stage call") {
   Pool pool;
   // As declared, until calls have ended.
   CHECK(pool.batcher_.ExpectedWait(ForecastOf(pool, 4), pool.now_).call_ ==
@@ -707,7 +708,7 @@
   }
   CHECK(pool.batcher_.ExpectedWait(ForecastOf(pool, 4), pool.now_).call_ >
         milliseconds(380));
-  // What calls take decides what is late.
+  // The observed time of calls decides which tasks are late.
   pool.SetServers({{"s1", "a"}});
   const uint64_t late = pool.Add(8, milliseconds(300));
   const uint64_t in_time = pool.Add(8, milliseconds(1000));
@@ -726,7 +727,7 @@
 TEST_CASE("small stage tasks go before large ones") {
   Pool pool;
   pool.SetServers({{"s1", "a"}});
-  // Tasks of 2 pieces are the usual ones here.
+  // Makes the average task 2 pieces large.
   for (int i = 0; i < 500; ++i) {
     pool.Add(2);
     for (const StageBatch& batch : pool.Start()) {
@@ -745,43 +746,43 @@
     REQUIRE(batches.size() == 1);
     return batches[0].pieces_.front().request_id_;
   };
-  // Requests are numbered as they come.
+  // Requests are numbered in the order they are added.
   SECTION("when their targets are near each other") {
     pool.Add(6, milliseconds(2000));
     pool.Add(2, milliseconds(2200));
     CHECK(next_of() == "r503");
   }
 
-  SECTION("but not when theirs are far later") {
+  SECTION("but not when their targets are far later") {
     pool.Add(6, milliseconds(1000));
     pool.Add(2, milliseconds(3500));
     CHECK(next_of() == "r502");
   }
 }
 
-TEST_CASE("a cancelled task tells whether pieces were handed out") {
+TEST_CASE("cancelling a task returns whether it can not have run") {
   Pool pool;
-  SECTION("not while it waits") {
+  SECTION("true while it waits") {
     CHECK(pool.batcher_.Cancel(pool.Add(1)));
   }
-  SECTION("when a server has one") {
+  SECTION("false when a call with a piece is in flight") {
     const uint64_t task = pool.Add(1);
     REQUIRE(pool.Start().size() == 1);
     CHECK_FALSE(pool.batcher_.Cancel(task));
   }
-  SECTION("when a call with one was lost") {
+  SECTION("false when a call with a piece was lost") {
     const uint64_t task = pool.Add(1);
     const auto batches = pool.Start();
     pool.batcher_.Failed(batches.at(0).call_, Failure::kLost, pool.now_);
     CHECK_FALSE(pool.batcher_.Cancel(task));
   }
-  SECTION("not when the server refused it") {
+  SECTION("true when the server refused the call") {
     const uint64_t task = pool.Add(1);
     const auto batches = pool.Start();
     pool.batcher_.Failed(batches.at(0).call_, Failure::kRefused, pool.now_);
     CHECK(pool.batcher_.Cancel(task));
   }
-  SECTION("nobody knows of one that is over") {
+  SECTION("false for an unknown task") {
     CHECK_FALSE(pool.batcher_.Cancel(pool.Add(1) + 1));
   }
 }
@@ -799,42 +800,43 @@
     }
     return made;
   };
-  // A call's pieces: of one request, from a number on.
+  // `count` consecutive pieces of one request.
   const auto pieces = [](uint32_t first, uint32_t count) {
-    std::vector<StagePiece> asked(count);
+    std::vector<StagePiece> sent(count);
     for (uint32_t i = 0; i < count; ++i) {
-      asked[i].request_id_ = "r";
-      asked[i].piece_ = first + i;
+      sent[i].request_id_ = "r";
+      sent[i].piece_ = first + i;
     }
-    return asked;
+    return sent;
   };
   using Match = StageReplyCheck::Match;
 
-  SECTION("are the call's when they hold one new result a piece") {
+  SECTION("match when they have one new result for each piece") {
     CHECK(check.Take(results({"h/1", "h/2"}), pieces(0, 2), now) ==
           Match::kOwn);
     CHECK(check.Take(results({"h/3"}), pieces(2, 1), now) == Match::kOwn);
   }
-  SECTION("are another call's when the number differs") {
-    CHECK(check.Take(results({"h/1"}), pieces(0, 2), now) == Match::kOtherSize);
-    CHECK(check.Take({}, pieces(0, 2), now) == Match::kOtherSize);
+  SECTION("do not match when the number of results differs") {
+    CHECK(check.Take(results({"h/1"}), pieces(0, 2), now) ==
+          Match::kSizeMismatch);
+    CHECK(check.Take({}, pieces(0, 2), now) == Match::kSizeMismatch);
   }
-  SECTION("are another call's when they come again") {
+  SECTION("do not match when an earlier reply is sent again") {
     CHECK(check.Take(results({"", "h/2"}), pieces(0, 2), now) == Match::kOwn);
     now += seconds(9);
     CHECK(check.Take(results({"", "h/2"}), pieces(2, 2), now) ==
           Match::kSeenBefore);
   }
-  SECTION("that made nothing can't be told apart") {
+  SECTION("are ambiguous without results") {
     CHECK(check.Take(results({"", ""}), pieces(0, 2), now) ==
           Match::kMayBeOthers);
   }
-  SECTION("may be the call's when the same piece is made again") {
+  SECTION("are ambiguous when they name a known result of the same piece") {
     CHECK(check.Take(results({"h/1"}), pieces(0, 1), now) == Match::kOwn);
     CHECK(check.Take(results({"h/1"}), pieces(0, 1), now) ==
           Match::kMayBeOthers);
   }
-  SECTION("are forgotten after a while") {
+  SECTION("expire after the retention time") {
     CHECK(check.Take(results({"h/1"}), pieces(0, 1), now) == Match::kOwn);
     now += seconds(11);
     CHECK(check.Take(results({"h/1"}), pieces(0, 1), now) == Match::kOwn);
