--- a/include/citronlane/admission/admission_controller.h
+++ b/include/citronlane/admission/admission_controller.h
@@ -16,9 +16,12 @@
 
 struct ClusterConfig;
 
-/// Decides at once whether a request is taken: refuses what can not meet its
-/// deadline, keeps client accounts to fair shares by cost used, lets batch
-/// yield, and holds spend. Pure. Not thread safe.
+/// Decides whether a new request is admitted or refused. Refuses requests that
+/// are not expected to meet their deadline or target, client accounts over
+/// their fair share of a contended pool, batch work while interactive work
+/// needs the pool, and requests over the spend limit of their class. It queues
+/// nothing and chooses no servers. Time is passed in and must not decrease. Not
+/// thread safe.
 class AdmissionController {
  public:
   /// Returns a number below its argument, which is at least 1.
@@ -31,30 +34,37 @@
   AdmissionController(const AdmissionController&) = delete;
   AdmissionController& operator=(const AdmissionController&) = delete;
 
-  /// Takes a new version of the configuration; what was learned stays.
+  /// Applies a new version of the configuration. Learned margins, the accounts'
+  /// use, and the spend of classes that still have an hourly limit are kept.
   void Update(const ClusterConfig& config, TimePoint now);
 
-  /// Returns why the request is refused, or nothing when it is admitted. Each
-  /// admitted request is followed by exactly one OnFinish.
+  /// Returns why the request is refused, or nullopt when it is admitted. Each
+  /// admitted request must be followed by exactly one OnFinish.
   std::optional<Refusal> Admit(TimePoint now, const AdmissionQuery& query);
 
-  /// The admitted request is over, at the cost it really had.
+  /// End of an admitted request. `query` is the one given to Admit, `cost` the
+  /// actual cost in micro-units.
   void OnFinish(TimePoint now,
                 const AdmissionQuery& query,
                 double cost,
                 bool met_target);
 
-  /// A lease from control: this gateway may spend `amount` for the class until
-  /// `valid_until`; after that a safe floor holds.
+  /// A spend lease from the control VMs: this gateway may spend `amount` (in
+  /// micro-units) for the class until `valid_until`, after that only at a low
+  /// rate that is safe without a lease. Ignored for a class without an hourly
+  /// limit. Takes effect at the time of the last call of Update, Admit or
+  /// OnFinish.
   void OnSpendShare(std::string_view class_name,
                     double amount,
                     TimePoint valid_until);
 
-  /// Whether the class's share of spend runs low, so that cheaper choices are
-  /// made before requests are refused: no hedges.
+  /// Whether little of the class's spend lease is left, or it has none, so that
+  /// hedges are avoided before requests have to be refused. False for a class
+  /// without an hourly limit.
   bool SpendIsTight(TimePoint now, std::string_view class_name) const;
 
-  /// How near the pool is to where targets are missed: 0 idle, 1 at the limit.
+  /// How close the pool is to missing targets: 0 is idle, 1 is the limit, and
+  /// it may be more. 0 for an unknown pool.
   double Pressure(TimePoint now, std::string_view pool) const;
 
  private:
--- a/include/citronlane/admission/admission_options.h
+++ b/include/citronlane/admission/admission_options.h
@@ -3,16 +3,17 @@
 
 namespace citronlane {
 
-/// Switches of admission, so that each mechanism can be measured without it.
+/// Switches for the mechanisms of admission, so that the effect of each can be
+/// measured.
 struct AdmissionOptions {
   bool early_refusal_ = true;
   bool refuse_pool_down_ = true;
   bool fair_share_ = true;
   bool batch_yields_ = true;
   bool spend_limits_ = true;
-  /// Part of a class's hourly limit that one gateway may spend before its first
-  /// lease; at most one over the number of gateways is safe.
-  double unleased_spend_part_ = 1.0 / 16;
+  /// Fraction of a class's hourly limit that one gateway may spend per hour
+  /// before its first lease. Safe up to one over the number of gateways.
+  double unleased_spend_fraction_ = 1.0 / 16;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/admission/admission_query.h
+++ b/include/citronlane/admission/admission_query.h
@@ -8,7 +8,7 @@
 
 namespace citronlane {
 
-/// A new request as admission sees it.
+/// Properties of a new request that admission depends on.
 struct AdmissionQuery {
   std::string account_;
   std::string class_name_;
@@ -17,17 +17,18 @@
   Duration target_{};
   Duration deadline_{};
   std::optional<Duration> first_token_target_;
-  /// Expected time to the first token and to the whole answer, when known,
-  /// from the routers of the stages ahead.
+  /// Expected time to the first token and to the full response, when known,
+  /// from the routers of all stages.
   std::optional<Duration> expected_first_token_;
   std::optional<Duration> expected_finish_;
   /// Expected cost in micro-units.
   double expected_cost_ = 0;
-  /// Whether a pool of the stages ahead is down (PoolRouter::IsDown).
+  /// Whether the pool of a stage is down (PoolRouter::IsDown).
   bool pool_down_ = false;
-  /// Whether a pool of the stages ahead has no usable server.
+  /// Whether the pool of a stage has no usable server.
   bool pool_empty_ = false;
-  /// Pool that the expected finish depends on most, and its servers in use.
+  /// Pool that the expected finish depends on most, and its calls in flight and
+  /// usable servers.
   std::string bottleneck_pool_;
   size_t pool_in_flight_ = 0;
   size_t pool_servers_ = 0;
--- a/include/citronlane/admission/detail/account_shares.h
+++ b/include/citronlane/admission/detail/account_shares.h
@@ -11,33 +11,35 @@
 
 namespace citronlane {
 
-/// Recent use of the client accounts by cost, compared with a fair level: the
-/// equal share of the active accounts or, where many small ones make that tiny,
-/// the level that caps all use at 0.7 of it. Not thread safe.
+/// Recent use of the client accounts by cost, compared with a fair level: an
+/// equal share for each active account or, if that is higher because many small
+/// accounts are active, the level at which capping all accounts would leave
+/// 0.7 of the total use. Not thread safe.
 class AccountShares {
  public:
   AccountShares();
 
-  /// The account used `cost` more, or less when negative.
+  /// Adds to the account's use; `cost` may be negative to correct it.
   void Add(TimePoint now, std::string_view account, double cost);
 
-  /// Use of the account over the fair level: 1 is its share, 2 twice that.
+  /// Use of the account relative to the fair level: 1 is its share, 2 twice
+  /// that; 0 for an unknown account.
   double Overuse(TimePoint now, std::string_view account) const;
 
-  /// Time until the account's use alone would fall to its share.
+  /// Time until the account's use decays to its share if it makes no requests.
   Duration TimeToShare(TimePoint now, std::string_view account) const;
 
-  /// Finds the level anew and forgets accounts without recent use. Does nothing
-  /// when called again soon, unless an account is new.
+  /// Recomputes the level and removes accounts without recent use. Does nothing
+  /// when called again soon, unless the number of accounts grew considerably.
   void Refresh(TimePoint now);
 
  private:
   std::map<std::string, DecayedSum, std::less<>> use_;
   DecayedSum total_;
-  /// Fair level as a part of the total use.
+  /// Fair level as a fraction of the total use.
   double level_ = 1;
-  /// Accounts when the level was found.
-  size_t known_ = 0;
+  /// Number of accounts when the level was computed.
+  size_t accounts_at_refresh_ = 0;
   TimePoint next_refresh_{};
 };
 
--- a/include/citronlane/admission/detail/decayed_sum.h
+++ b/include/citronlane/admission/detail/decayed_sum.h
@@ -7,7 +7,7 @@
 
 namespace citronlane {
 
-/// Sum whose parts halve every half-life, so that it tells recent use. Not
+/// Sum whose terms halve every half-life, as a measure of recent use. Not
 /// thread safe.
 class DecayedSum {
  public:
--- a/include/citronlane/admission/detail/pool_pressure.h
+++ b/include/citronlane/admission/detail/pool_pressure.h
@@ -10,30 +10,32 @@
 
 namespace citronlane {
 
-/// How near one pool is to where targets are missed: each class tells what
-/// part of its slack the queues use up; the tightest one counts. Not thread
-/// safe.
+/// How close one pool is to missing targets. For each class it is the fraction
+/// of the slack (allowed time minus the time in an idle pool) that queueing
+/// uses up; the highest one counts. Not thread safe.
 class PoolPressure {
  public:
-  /// Notes an estimate for a class and returns the part of the slack between
-  /// the class's idle estimate and `allowed` that it uses: 1 is the limit.
-  double Note(TimePoint now,
-              std::string_view class_name,
-              Duration expected,
-              Duration allowed);
-
-  /// Highest part over the classes seen lately, smoothed over their estimates.
+  /// Records an estimate for a class. Returns the fraction that it uses of the
+  /// slack between the class's idle estimate and `allowed`: 1 is the limit.
+  double RecordEstimate(TimePoint now,
+                        std::string_view class_name,
+                        Duration expected,
+                        Duration allowed);
+
+  /// Highest fraction over all classes, smoothed over their estimates; decays
+  /// without new ones.
   double At(TimePoint now) const;
-  /// The same by the last estimates alone.
+  /// The same by the last estimate of each class alone.
   double Latest(TimePoint now) const;
 
-  /// Interactive work was refused for want of this pool.
-  void NoteRefusal(TimePoint now) { refused_at_ = now; }
-  /// Whether that happened just now, so that batch work has to yield.
+  /// Records that interactive work was refused because of this pool's load.
+  void RecordRefusal(TimePoint now) { refused_at_ = now; }
+  /// Whether that happened recently, so that batch work has to yield.
   bool RefusedLately(TimePoint now) const;
 
  private:
   struct ClassPressure {
+    /// Lowest recent estimate, which rises slowly.
     double idle_us_ = 0;
     double smoothed_ = 0;
     double latest_ = 0;
--- a/include/citronlane/admission/detail/retry_after.h
+++ b/include/citronlane/admission/detail/retry_after.h
@@ -9,18 +9,19 @@
 
 namespace citronlane {
 
-/// When a refused caller should come back: after the state has had time to
-/// change, spread at random over a time that grows with the number refused, so
-/// that callers do not return together. Not thread safe.
+/// Computes when a refused caller should retry: after the state has had time to
+/// change, plus a random time whose range grows with the number of refusals, so
+/// that callers do not retry at the same time. Not thread safe.
 class RetryAfter {
  public:
+  /// Returns a number below its argument, which is at least 1.
   using RandomHook = std::function<uint64_t(uint64_t)>;
 
   explicit RetryAfter(RandomHook random);
 
   void OnAdmit(TimePoint now) { admitted_.Add(now, 1); }
-  /// Counts a refusal and returns the time to wait; `change` is when the state
-  /// that refused may have changed.
+  /// Counts a refusal and returns the time to wait. `change` is the time after
+  /// which the reason of the refusal may be gone.
   Duration OnRefuse(TimePoint now, Duration change);
 
  private:
--- a/include/citronlane/admission/detail/spend_share.h
+++ b/include/citronlane/admission/detail/spend_share.h
@@ -5,26 +5,30 @@
 
 namespace citronlane {
 
-/// What this gateway may spend of one class's hourly limit: a leased amount,
-/// and a slow floor once the lease is over, so that gateways which cannot reach
-/// control stay within the limit together. Not thread safe.
+/// How much this gateway may spend of one class's hourly limit: a leased
+/// amount and, once the lease has expired, a low floor rate, so that gateways
+/// that can not reach the control VMs stay within the limit together. Amounts
+/// are in micro-units. Not thread safe.
 class SpendShare {
  public:
-  /// `floor_per_second` holds until the first lease; a minute of it is saved.
+  /// `floor_per_second` is the rate until the first lease. Starts with the
+  /// savings of a minute.
   SpendShare(double floor_per_second, TimePoint now);
 
-  /// A new lease replaces the last one with what was not spent of it.
+  /// Replaces the previous lease; its unspent rest is lost, its overdraft is
+  /// carried over.
   void Lease(TimePoint now, double amount, TimePoint valid_until);
-  /// Takes the cost if the share covers it.
+  /// Takes the cost; returns false and takes nothing if it is not available.
   bool TrySpend(TimePoint now, double cost);
-  /// Corrects an earlier cost by the difference to the real one.
+  /// Corrects an earlier cost by the difference between the actual cost and it.
   void Settle(TimePoint now, double difference);
 
-  /// What can be spent now.
+  /// Amount that can be spent now; negative for an overdraft.
   double Available(TimePoint now) const;
-  /// Part of the lease that is left, 0 to 1; 0 after its end.
+  /// Fraction of the lease that is left, 0 to 1; 0 without a lease in force.
   double LeaseLeft(TimePoint now) const;
-  /// Time until `cost` may be covered: the lease's end, or the floor's refill.
+  /// Time until `cost` may be available: the end of the lease, or until the
+  /// floor has refilled. Zero when the floor rate is 0.
   Duration TimeToCover(TimePoint now, double cost) const;
 
  private:
@@ -34,8 +38,8 @@
   double spent_ = 0;
   TimePoint valid_until_{};
   double floor_per_second_;
-  /// What the floor had saved up at `floor_at_`; negative for an overdraft.
-  double floor_saved_ = 0;
+  /// Savings of the floor at `floor_at_`; negative for an overdraft.
+  double floor_savings_ = 0;
   TimePoint floor_at_;
 };
 
--- a/include/citronlane/admission/detail/target_margin.h
+++ b/include/citronlane/admission/detail/target_margin.h
@@ -3,17 +3,20 @@
 
 namespace citronlane {
 
-/// Learns how far estimates of one class can be trusted: the part of a target
-/// that an estimate may use up. Moves so that admitted requests meet the target
-/// as often as was declared. Not thread safe.
+/// Learns the margin of one class: the fraction of the target up to which an
+/// estimate is accepted. Adjusts it so that the declared fraction of admitted
+/// requests meets the target. Not thread safe.
 class TargetMargin {
  public:
-  /// `attainment` is the declared share of requests, 0 to 1.
+  /// `attainment` is the declared fraction of requests that meet the target, 0
+  /// to 1.
   explicit TargetMargin(double attainment);
 
   void set_attainment(double attainment) { attainment_ = attainment; }
-  /// An admitted request whose estimate had used `used` of its target ended.
+  /// An admitted request ended; `met` is whether it met its target. `used` is
+  /// its estimate as a fraction of the target.
   void OnFinish(double used, bool met);
+  /// The margin.
   double value() const { return value_; }
 
  private:
--- a/include/citronlane/admission/refusal.h
+++ b/include/citronlane/admission/refusal.h
@@ -9,10 +9,10 @@
 
 namespace citronlane {
 
-/// Why a request is refused, with the figures that decided.
+/// Why a request is refused, with the values that the decision is based on.
 struct Refusal {
   RefusalReason reason_ = RefusalReason::kInternal;
-  /// When to come back; zero when coming back does not help.
+  /// Time after which a retry makes sense; zero when it never does.
   Duration retry_after_{};
   /// E.g. {"expected_ms": 2300, "target_ms": 1200}.
   std::map<std::string, double> figures_;
--- a/src/admission/account_shares.cc
+++ b/src/admission/account_shares.cc
@@ -11,22 +11,25 @@
 
 constexpr Duration kHalfLife = std::chrono::seconds(10);
 constexpr Duration kRefreshInterval = std::chrono::seconds(2);
-/// An account below this part of the total use is not active, and below the
-/// other one forgotten.
-constexpr double kActivePart = 1e-5;
-constexpr double kForgottenPart = 1e-8;
-/// Level and accounts are looked at anew when they grew by one in this many.
-constexpr size_t kGrowthPart = 8;
-constexpr double kKeptUse = 0.7;
+/// An account with a smaller fraction of the total use is not active.
+constexpr double kMinActiveFraction = 1e-5;
+/// An account with no more than this fraction of the total use is removed.
+constexpr double kMaxRemovedFraction = 1e-8;
+/// The level is recomputed early when there are more new accounts than the
+/// known ones divided by this.
+constexpr size_t kGrowthDivisor = 8;
+/// Fraction of the total use that is left when accounts are capped.
+constexpr double kCappedUseFraction = 0.7;
 
-/// Level to which uses must be cut so that kKeptUse of their sum of 1 is left.
-double CappingLevel(std::vector<double> uses) {
+/// Level at which `uses`, whose sum is 1, must be capped to leave
+/// kCappedUseFraction.
+double CapLevel(std::vector<double> uses) {
   std::sort(uses.begin(), uses.end());
   double below = 0;
   for (size_t i = 0; i < uses.size(); ++i) {
     const auto rest = static_cast<double>(uses.size() - i);
-    if (below + rest * uses[i] >= kKeptUse) {
-      return (kKeptUse - below) / rest;
+    if (below + rest * uses[i] >= kCappedUseFraction) {
+      return (kCappedUseFraction - below) / rest;
     }
     below += uses[i];
   }
@@ -41,7 +44,8 @@
   auto found = use_.find(account);
   if (found == use_.end()) {
     found = use_.emplace(std::string(account), DecayedSum(kHalfLife)).first;
-    if (use_.size() > known_ + known_ / kGrowthPart) {
+    if (use_.size() >
+        accounts_at_refresh_ + accounts_at_refresh_ / kGrowthDivisor) {
       next_refresh_ = now;
     }
   }
@@ -75,16 +79,16 @@
   uses.reserve(use_.size());
   for (auto entry = use_.begin(); entry != use_.end();) {
     const double use = entry->second.At(now);
-    if (use > kActivePart * total) {
+    if (use > kMinActiveFraction * total) {
       uses.push_back(use / total);
     }
-    entry =
-        use <= kForgottenPart * total ? use_.erase(entry) : std::next(entry);
+    entry = use <= kMaxRemovedFraction * total ? use_.erase(entry)
+                                               : std::next(entry);
   }
-  known_ = use_.size();
+  accounts_at_refresh_ = use_.size();
   if (!uses.empty()) {
     const double equal = 1 / static_cast<double>(uses.size());
-    level_ = std::max(equal, CappingLevel(std::move(uses)));
+    level_ = std::max(equal, CapLevel(std::move(uses)));
   }
 }
 
--- a/src/admission/admission_controller.cc
+++ b/src/admission/admission_controller.cc
@@ -17,23 +17,25 @@
 
 /// Batch work yields above this pressure of interactive work.
 constexpr double kBatchPressure = 0.3;
-/// An account at or above twice its share is refused above this pressure.
-constexpr double kFairShareFloor = 0.3;
-constexpr double kTightSpend = 0.2;
+/// Accounts over their share are refused above a pressure that falls from 1 at
+/// the share to this value at twice the share.
+constexpr double kMinFairSharePressure = 0.3;
+/// Spend is tight when a smaller fraction of the lease is left.
+constexpr double kTightSpendFraction = 0.2;
 constexpr double kUsPerMs = 1000;
 constexpr double kSecondsPerHour = 3600;
-/// One request in this many goes on to a pool that is down.
-constexpr uint64_t kPoolProbes = 3;
-constexpr Duration kPoolReturn = std::chrono::seconds(2);
-constexpr Duration kBatchReturn = std::chrono::seconds(5);
+/// One request in this many is admitted though a pool is down.
+constexpr uint64_t kPoolProbeInterval = 3;
+constexpr Duration kPoolRetryTime = std::chrono::seconds(2);
+constexpr Duration kBatchRetryTime = std::chrono::seconds(5);
 
-double Ms(Duration duration) {
+double ToMs(Duration duration) {
   return static_cast<double>(duration.count()) / kUsPerMs;
 }
 
-double Part(Duration part, Duration whole) {
-  return static_cast<double>(part.count()) /
-         std::max(1.0, static_cast<double>(whole.count()));
+double Ratio(Duration dividend, Duration divisor) {
+  return static_cast<double>(dividend.count()) /
+         std::max(1.0, static_cast<double>(divisor.count()));
 }
 
 Duration Scaled(Duration duration, double factor) {
@@ -41,13 +43,14 @@
       static_cast<double>(duration.count()) * factor));
 }
 
-/// Whether the request was refused for want of a pool's capacity.
-bool IsContention(RefusalReason reason) {
+/// Whether the request was refused because a pool lacks capacity.
+bool IsCapacityRefusal(RefusalReason reason) {
   return reason == RefusalReason::kDeadlineUnreachable ||
          reason == RefusalReason::kFairShare;
 }
 
-/// The estimate and the target that bind a request most.
+/// An estimate and its target; of a request, the pair that is closest to a
+/// miss.
 struct BindingTarget {
   Duration expected_{};
   Duration target_{};
@@ -61,8 +64,8 @@
   if (query.expected_first_token_ && query.first_token_target_) {
     const BindingTarget first = {*query.expected_first_token_,
                                  *query.first_token_target_};
-    if (!binding || Part(first.expected_, first.target_) >
-                        Part(binding->expected_, binding->target_)) {
+    if (!binding || Ratio(first.expected_, first.target_) >
+                        Ratio(binding->expected_, binding->target_)) {
       binding = first;
     }
   }
@@ -80,9 +83,9 @@
   std::optional<Refusal> Check(TimePoint now, const AdmissionQuery& query);
   void Commit(TimePoint now, const AdmissionQuery& query);
 
-  TargetMargin& MarginOf(const std::string& class_name);
-  SpendShare* SpendOf(std::string_view class_name);
-  PoolPressure& PoolOf(std::string_view pool);
+  TargetMargin& FindOrAddMargin(const std::string& class_name);
+  SpendShare* FindSpend(std::string_view class_name);
+  PoolPressure& FindOrAddPool(std::string_view pool);
 
   const AdmissionOptions options_;
   const RandomHook random_;
@@ -92,7 +95,7 @@
   std::map<std::string, PoolPressure, std::less<>> pools_;
   AccountShares shares_;
   RetryAfter retry_after_;
-  TimePoint last_now_{};
+  TimePoint last_event_{};
 
  private:
   std::optional<Refusal> CheckSpendPerRequest(const AdmissionQuery& query);
@@ -116,33 +119,33 @@
 void AdmissionController::Impl::Update(const ClusterConfig& config,
                                        TimePoint now) {
   classes_ = config.classes_;
-  for (const auto& [name, declared] : classes_) {
-    MarginOf(name).set_attainment(declared.attainment_);
-    if (!declared.spend_per_hour_) {
+  for (const auto& [name, class_config] : classes_) {
+    FindOrAddMargin(name).set_attainment(class_config.attainment_);
+    if (!class_config.spend_per_hour_) {
       spend_.erase(name);
       continue;
     }
-    const double floor = *declared.spend_per_hour_ / kSecondsPerHour *
-                         options_.unleased_spend_part_;
+    const double floor = *class_config.spend_per_hour_ / kSecondsPerHour *
+                         options_.unleased_spend_fraction_;
     spend_.emplace(name, SpendShare(floor, now));
   }
 }
 
-TargetMargin& AdmissionController::Impl::MarginOf(
+TargetMargin& AdmissionController::Impl::FindOrAddMargin(
     const std::string& class_name) {
-  const auto declared = classes_.find(class_name);
-  const double attainment = declared == classes_.end()
+  const auto class_config = classes_.find(class_name);
+  const double attainment = class_config == classes_.end()
                                 ? ClassConfig().attainment_
-                                : declared->second.attainment_;
+                                : class_config->second.attainment_;
   return margins_.emplace(class_name, TargetMargin(attainment)).first->second;
 }
 
-SpendShare* AdmissionController::Impl::SpendOf(std::string_view class_name) {
+SpendShare* AdmissionController::Impl::FindSpend(std::string_view class_name) {
   const auto found = spend_.find(class_name);
   return found == spend_.end() ? nullptr : &found->second;
 }
 
-PoolPressure& AdmissionController::Impl::PoolOf(std::string_view pool) {
+PoolPressure& AdmissionController::Impl::FindOrAddPool(std::string_view pool) {
   const auto found = pools_.find(pool);
   if (found != pools_.end()) {
     return found->second;
@@ -160,17 +163,18 @@
 
 std::optional<Refusal> AdmissionController::Impl::CheckSpendPerRequest(
     const AdmissionQuery& query) {
-  const auto declared = classes_.find(query.class_name_);
-  if (!options_.spend_limits_ || declared == classes_.end() ||
-      !declared->second.spend_per_request_ ||
-      query.expected_cost_ <= *declared->second.spend_per_request_) {
+  const auto class_config = classes_.find(query.class_name_);
+  if (!options_.spend_limits_ || class_config == classes_.end() ||
+      !class_config->second.spend_per_request_ ||
+      query.expected_cost_ <= *class_config->second.spend_per_request_) {
     return std::nullopt;
   }
-  // Coming back does not make the request cheaper: no Retry-After.
-  return Refusal{RefusalReason::kSpendLimit,
-                 Duration::zero(),
-                 {{"expected_cost", query.expected_cost_},
-                  {"spend_per_request", *declared->second.spend_per_request_}}};
+  // A retry would cost as much: no Retry-After.
+  return Refusal{
+      RefusalReason::kSpendLimit,
+      Duration::zero(),
+      {{"expected_cost", query.expected_cost_},
+       {"spend_per_request", *class_config->second.spend_per_request_}}};
 }
 
 std::optional<Refusal> AdmissionController::Impl::CheckPoolDown(
@@ -180,15 +184,15 @@
     return std::nullopt;
   }
   if (query.pool_empty_) {
-    return Refuse(now, RefusalReason::kNoBackendServer, kPoolReturn,
+    return Refuse(now, RefusalReason::kNoBackendServer, kPoolRetryTime,
                   {{"usable_servers", 0}});
   }
-  // A few go on, or nobody would see the pool come back.
-  if (!query.pool_down_ || random_(kPoolProbes) == 0) {
+  // Some are admitted, so that a recovery of the pool is noticed.
+  if (!query.pool_down_ || random_(kPoolProbeInterval) == 0) {
     return std::nullopt;
   }
-  return Refuse(now, RefusalReason::kNoBackendServer, kPoolReturn,
-                {{"probed_one_in", kPoolProbes}});
+  return Refuse(now, RefusalReason::kNoBackendServer, kPoolRetryTime,
+                {{"probed_one_in", kPoolProbeInterval}});
 }
 
 std::optional<Refusal> AdmissionController::Impl::CheckDeadline(
@@ -200,8 +204,8 @@
   }
   const Duration over = *query.expected_finish_ - query.deadline_;
   return Refuse(now, RefusalReason::kDeadlineUnreachable, over,
-                {{"expected_ms", Ms(*query.expected_finish_)},
-                 {"deadline_ms", Ms(query.deadline_)}});
+                {{"expected_ms", ToMs(*query.expected_finish_)},
+                 {"deadline_ms", ToMs(query.deadline_)}});
 }
 
 std::optional<Refusal> AdmissionController::Impl::CheckTarget(
@@ -211,45 +215,45 @@
   if (!binding) {
     return std::nullopt;
   }
-  const double margin = MarginOf(query.class_name_).value();
+  const double margin = FindOrAddMargin(query.class_name_).value();
   const Duration allowed = Scaled(binding->target_, margin);
-  PoolPressure& pool = PoolOf(query.bottleneck_pool_);
+  PoolPressure& pool = FindOrAddPool(query.bottleneck_pool_);
   if (!query.batch_) {
-    pool.Note(now, query.class_name_, binding->expected_, allowed);
+    pool.RecordEstimate(now, query.class_name_, binding->expected_, allowed);
   }
   if (!options_.early_refusal_ || binding->expected_ <= allowed) {
     return std::nullopt;
   }
   return Refuse(now, RefusalReason::kDeadlineUnreachable,
                 binding->expected_ - allowed,
-                {{"expected_ms", Ms(binding->expected_)},
-                 {"target_ms", Ms(binding->target_)},
+                {{"expected_ms", ToMs(binding->expected_)},
+                 {"target_ms", ToMs(binding->target_)},
                  {"margin", margin}});
 }
 
 std::optional<Refusal> AdmissionController::Impl::CheckBatch(
     TimePoint now,
     const AdmissionQuery& query) {
-  const auto& pool = PoolOf(query.bottleneck_pool_);
+  const auto& pool = FindOrAddPool(query.bottleneck_pool_);
   const double pressure = pool.Latest(now);
   if (!options_.batch_yields_ || !query.batch_ ||
       (pressure <= kBatchPressure && !pool.RefusedLately(now))) {
     return std::nullopt;
   }
-  return Refuse(now, RefusalReason::kBatchYields, kBatchReturn,
+  return Refuse(now, RefusalReason::kBatchYields, kBatchRetryTime,
                 {{"pressure", pressure}, {"limit", kBatchPressure}});
 }
 
 std::optional<Refusal> AdmissionController::Impl::CheckFairShare(
     TimePoint now,
     const AdmissionQuery& query) {
-  const double pressure = PoolOf(query.bottleneck_pool_).At(now);
-  if (!options_.fair_share_ || pressure <= kFairShareFloor) {
+  const double pressure = FindOrAddPool(query.bottleneck_pool_).At(now);
+  if (!options_.fair_share_ || pressure <= kMinFairSharePressure) {
     return std::nullopt;
   }
   const double overuse = shares_.Overuse(now, query.account_);
-  const double allowed =
-      std::max(kFairShareFloor, 1 - (1 - kFairShareFloor) * (overuse - 1));
+  const double allowed = std::max(
+      kMinFairSharePressure, 1 - (1 - kMinFairSharePressure) * (overuse - 1));
   if (overuse <= 1 || pressure <= allowed) {
     return std::nullopt;
   }
@@ -263,7 +267,7 @@
 std::optional<Refusal> AdmissionController::Impl::CheckSpendPerHour(
     TimePoint now,
     const AdmissionQuery& query) {
-  SpendShare* spend = SpendOf(query.class_name_);
+  SpendShare* spend = FindSpend(query.class_name_);
   if (!options_.spend_limits_ || spend == nullptr ||
       spend->TrySpend(now, query.expected_cost_)) {
     return std::nullopt;
@@ -295,7 +299,7 @@
   if (auto refusal = CheckFairShare(now, query)) {
     return refusal;
   }
-  // Last, since it takes from the share.
+  // Last, since it takes the cost from the share.
   return CheckSpendPerHour(now, query);
 }
 
@@ -316,18 +320,18 @@
 AdmissionController::~AdmissionController() = default;
 
 void AdmissionController::Update(const ClusterConfig& config, TimePoint now) {
-  impl_->last_now_ = now;
+  impl_->last_event_ = now;
   impl_->Update(config, now);
 }
 
 std::optional<Refusal> AdmissionController::Admit(TimePoint now,
                                                   const AdmissionQuery& query) {
-  impl_->last_now_ = now;
+  impl_->last_event_ = now;
   auto refusal = impl_->Check(now, query);
   if (!refusal) {
     impl_->Commit(now, query);
-  } else if (!query.batch_ && IsContention(refusal->reason_)) {
-    impl_->PoolOf(query.bottleneck_pool_).NoteRefusal(now);
+  } else if (!query.batch_ && IsCapacityRefusal(refusal->reason_)) {
+    impl_->FindOrAddPool(query.bottleneck_pool_).RecordRefusal(now);
   }
   return refusal;
 }
@@ -336,30 +340,30 @@
                                    const AdmissionQuery& query,
                                    double cost,
                                    bool met_target) {
-  impl_->last_now_ = now;
+  impl_->last_event_ = now;
   const double difference = cost - query.expected_cost_;
   impl_->shares_.Add(now, query.account_, difference);
-  if (SpendShare* spend = impl_->SpendOf(query.class_name_)) {
+  if (SpendShare* spend = impl_->FindSpend(query.class_name_)) {
     spend->Settle(now, difference);
   }
   if (const auto binding = FindBinding(query)) {
-    impl_->MarginOf(query.class_name_)
-        .OnFinish(Part(binding->expected_, binding->target_), met_target);
+    impl_->FindOrAddMargin(query.class_name_)
+        .OnFinish(Ratio(binding->expected_, binding->target_), met_target);
   }
 }
 
 void AdmissionController::OnSpendShare(std::string_view class_name,
                                        double amount,
                                        TimePoint valid_until) {
-  if (SpendShare* spend = impl_->SpendOf(class_name)) {
-    spend->Lease(impl_->last_now_, amount, valid_until);
+  if (SpendShare* spend = impl_->FindSpend(class_name)) {
+    spend->Lease(impl_->last_event_, amount, valid_until);
   }
 }
 
 bool AdmissionController::SpendIsTight(TimePoint now,
                                        std::string_view class_name) const {
-  const SpendShare* spend = impl_->SpendOf(class_name);
-  return spend != nullptr && spend->LeaseLeft(now) < kTightSpend;
+  const SpendShare* spend = impl_->FindSpend(class_name);
+  return spend != nullptr && spend->LeaseLeft(now) < kTightSpendFraction;
 }
 
 double AdmissionController::Pressure(TimePoint now,
--- a/src/admission/pool_pressure.cc
+++ b/src/admission/pool_pressure.cc
@@ -6,47 +6,49 @@
 namespace citronlane {
 namespace {
 
-/// Growth of the idle estimate per second, so that it is learned anew.
+/// Growth of the idle estimate per second, so that it follows a pool that
+/// became slower.
 constexpr double kIdleDriftPerSecond = 0.01;
-/// Half-life of a class's word on the pool.
+/// Half-life of an estimate.
 constexpr double kHalfLifeSeconds = 0.5;
 constexpr double kSampleWeight = 0.3;
-constexpr Duration kRefusalMemory = std::chrono::seconds(1);
-/// Smallest slack, as a part of the allowed time.
-constexpr double kLeastSlack = 0.05;
+/// Batch work yields for this long after a refusal.
+constexpr Duration kRefusalExpiry = std::chrono::seconds(1);
+/// Lower bound of the slack, as a fraction of the allowed time.
+constexpr double kMinSlackFraction = 0.05;
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-double Us(Duration duration) {
+double ToUs(Duration duration) {
   return static_cast<double>(duration.count());
 }
 
-double Fade(Duration age) {
+double DecayFactor(Duration age) {
   return std::exp2(-Seconds(age) / kHalfLifeSeconds);
 }
 
 }  // namespace
 
-double PoolPressure::Note(TimePoint now,
-                          std::string_view class_name,
-                          Duration expected,
-                          Duration allowed) {
+double PoolPressure::RecordEstimate(TimePoint now,
+                                    std::string_view class_name,
+                                    Duration expected,
+                                    Duration allowed) {
   auto found = classes_.find(class_name);
   if (found == classes_.end()) {
     found = classes_.emplace(std::string(class_name), ClassPressure()).first;
-    found->second.idle_us_ = Us(expected);
+    found->second.idle_us_ = ToUs(expected);
     found->second.at_ = now;
   }
   ClassPressure& entry = found->second;
   const double drift = 1 + kIdleDriftPerSecond * Seconds(now - entry.at_);
-  entry.idle_us_ = std::min(entry.idle_us_ * drift, Us(expected));
-  const double slack =
-      std::max(Us(allowed) - entry.idle_us_, kLeastSlack * Us(allowed));
-  entry.latest_ = (Us(expected) - entry.idle_us_) / std::max(slack, 1.0);
-  // The longer ago the last estimate was, the less it tells.
-  const double kept = (1 - kSampleWeight) * Fade(now - entry.at_);
+  entry.idle_us_ = std::min(entry.idle_us_ * drift, ToUs(expected));
+  const double slack = std::max(ToUs(allowed) - entry.idle_us_,
+                                kMinSlackFraction * ToUs(allowed));
+  entry.latest_ = (ToUs(expected) - entry.idle_us_) / std::max(slack, 1.0);
+  // The older the previous estimate is, the less it weighs.
+  const double kept = (1 - kSampleWeight) * DecayFactor(now - entry.at_);
   entry.smoothed_ = kept * entry.smoothed_ + (1 - kept) * entry.latest_;
   entry.at_ = now;
   return entry.latest_;
@@ -56,7 +58,7 @@
                              double ClassPressure::*pressure) const {
   double highest = 0;
   for (const auto& [name, entry] : classes_) {
-    highest = std::max(highest, entry.*pressure * Fade(now - entry.at_));
+    highest = std::max(highest, entry.*pressure * DecayFactor(now - entry.at_));
   }
   return highest;
 }
@@ -70,7 +72,7 @@
 }
 
 bool PoolPressure::RefusedLately(TimePoint now) const {
-  return refused_at_ && now - *refused_at_ < kRefusalMemory;
+  return refused_at_ && now - *refused_at_ < kRefusalExpiry;
 }
 
 }  // namespace citronlane
--- a/src/admission/retry_after.cc
+++ b/src/admission/retry_after.cc
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr Duration kHalfLife = std::chrono::seconds(5);
-constexpr Duration kShortest = std::chrono::seconds(1);
-constexpr Duration kLongest = std::chrono::seconds(60);
+constexpr Duration kMinRetryAfter = std::chrono::seconds(1);
+constexpr Duration kMaxRetryAfter = std::chrono::seconds(60);
 
 }  // namespace
 
@@ -17,11 +17,12 @@
 
 Duration RetryAfter::OnRefuse(TimePoint now, Duration change) {
   refused_.Add(now, 1);
-  const Duration base = std::clamp(change, kShortest, kLongest);
-  const double crowd = refused_.At(now) / std::max(1.0, admitted_.At(now));
-  const double spread = static_cast<double>(base.count()) * (1 + crowd);
+  const Duration base = std::clamp(change, kMinRetryAfter, kMaxRetryAfter);
+  const double refusal_ratio =
+      refused_.At(now) / std::max(1.0, admitted_.At(now));
+  const double spread = static_cast<double>(base.count()) * (1 + refusal_ratio);
   const auto bound = static_cast<uint64_t>(
-      std::min(spread, static_cast<double>(kLongest.count())));
+      std::min(spread, static_cast<double>(kMaxRetryAfter.count())));
   return base + Duration(static_cast<Duration::rep>(random_(bound)));
 }
 
--- a/src/admission/spend_share.cc
+++ b/src/admission/spend_share.cc
@@ -5,11 +5,11 @@
 namespace citronlane {
 namespace {
 
-/// Pace after a lease's end, as a part of the pace the lease allowed.
-constexpr double kFloorPart = 0.1;
-/// What the floor saves up at most, in seconds of its pace.
+/// Floor rate after the end of a lease, relative to the rate of the lease.
+constexpr double kFloorRateRatio = 0.1;
+/// Upper bound of the floor's savings, in seconds of its rate.
 constexpr double kFloorBurstSeconds = 60;
-constexpr Duration kShortestLease = std::chrono::seconds(1);
+constexpr Duration kMinLease = std::chrono::seconds(1);
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -19,23 +19,23 @@
 
 SpendShare::SpendShare(double floor_per_second, TimePoint now)
     : floor_per_second_(floor_per_second),
-      floor_saved_(kFloorBurstSeconds * floor_per_second),
+      floor_savings_(kFloorBurstSeconds * floor_per_second),
       floor_at_(now) {}
 
 void SpendShare::Lease(TimePoint now, double amount, TimePoint valid_until) {
-  const Duration length = std::max(kShortestLease, valid_until - now);
-  // An overdraft by late settlements is carried over.
+  const Duration length = std::max(kMinLease, valid_until - now);
+  // An overdraft caused by late settlements is carried over.
   spent_ = std::max(0.0, spent_ - amount_);
   amount_ = amount;
   valid_until_ = valid_until;
-  floor_per_second_ = kFloorPart * amount / Seconds(length);
-  floor_saved_ = 0;
+  floor_per_second_ = kFloorRateRatio * amount / Seconds(length);
+  floor_savings_ = 0;
   floor_at_ = valid_until;
 }
 
 double SpendShare::FloorAt(TimePoint now) const {
   const double seconds = Seconds(std::max(Duration::zero(), now - floor_at_));
-  return std::min(floor_saved_ + seconds * floor_per_second_,
+  return std::min(floor_savings_ + seconds * floor_per_second_,
                   kFloorBurstSeconds * floor_per_second_);
 }
 
@@ -50,7 +50,7 @@
   if (now < valid_until_) {
     spent_ += cost;
   } else {
-    floor_saved_ = FloorAt(now) - cost;
+    floor_savings_ = FloorAt(now) - cost;
     floor_at_ = now;
   }
   return true;
@@ -60,7 +60,7 @@
   if (now < valid_until_) {
     spent_ += difference;
   } else {
-    floor_saved_ -= difference;
+    floor_savings_ -= difference;
   }
 }
 
--- a/tests/unit-admission.cc
+++ b/tests/unit-admission.cc
@@ -27,12 +27,12 @@
 AdmissionQuery MakeQuery(const std::string& class_name,
                          Duration expected,
                          const std::string& account = "small") {
-  const ClassConfig declared = MakeConfig().classes_.at(class_name);
+  const ClassConfig class_config = MakeConfig().classes_.at(class_name);
   AdmissionQuery query;
   query.account_ = account;
   query.class_name_ = class_name;
-  query.batch_ = declared.batch_;
-  query.target_ = declared.answer_target_;
+  query.batch_ = class_config.batch_;
+  query.target_ = class_config.answer_target_;
   query.deadline_ = seconds(60);
   query.expected_finish_ = expected;
   query.expected_cost_ = kCost;
@@ -69,10 +69,10 @@
 
 TEST_CASE("early refusal") {
   AdmissionTest test;
-  SECTION("admits what is expected to meet its target") {
+  SECTION("admits a request that is expected to meet its target") {
     CHECK_FALSE(test.Admit(MakeQuery("chat", seconds(2))));
   }
-  SECTION("refuses what is expected to miss it, with the figures") {
+  SECTION("refuses one that is expected to miss it, with the figures") {
     CHECK(test.Admit(MakeQuery("chat", seconds(5))) ==
           RefusalReason::kDeadlineUnreachable);
     CHECK(test.last_->figures_.at("expected_ms") == 5000);
@@ -84,12 +84,12 @@
     query.expected_first_token_ = milliseconds(1500);
     CHECK(test.Admit(query) == RefusalReason::kDeadlineUnreachable);
   }
-  SECTION("refuses what can not make its deadline") {
+  SECTION("refuses one that is expected to miss its deadline") {
     AdmissionQuery query = MakeQuery("report", seconds(9));
     query.deadline_ = seconds(8);
     CHECK(test.Admit(query) == RefusalReason::kDeadlineUnreachable);
   }
-  SECTION("refuses what needs a pool that is down, but for a few probes") {
+  SECTION("refuses most requests that need a pool that is down") {
     AdmissionQuery query = MakeQuery("chat", seconds(2));
     query.pool_down_ = true;
     int refused = 0;
@@ -99,19 +99,19 @@
     CHECK(refused > 150);
     CHECK(refused < 250);
   }
-  SECTION("refuses what needs a pool without a usable server, always") {
+  SECTION("refuses all requests that need a pool without a usable server") {
     AdmissionQuery query = MakeQuery("chat", seconds(2));
     query.pool_empty_ = true;
     for (int i = 0; i < 20; ++i) {
       CHECK(test.Admit(query) == RefusalReason::kNoBackendServer);
     }
   }
-  SECTION("admits when nothing is known") {
+  SECTION("admits a request without an estimate") {
     AdmissionQuery query = MakeQuery("chat", seconds(5));
     query.expected_finish_.reset();
     CHECK_FALSE(test.Admit(query));
   }
-  SECTION("learns from misses to trust estimates less, and again more") {
+  SECTION("lowers the margin after misses and raises it again") {
     const AdmissionQuery query = MakeQuery("chat", milliseconds(3400));
     CHECK_FALSE(test.Admit(query));
     for (int i = 0; i < 5; ++i) {
@@ -142,7 +142,7 @@
     CHECK(test.last_->figures_.at("use_over_share") ==
           Approx(1.384).epsilon(0.01));
   }
-  SECTION("is told from middling ones among many") {
+  SECTION("is distinguished from medium ones among many small ones") {
     for (int i = 0; i < 90; ++i) {
       test.Use("tiny-" + std::to_string(i), 1);
     }
@@ -153,20 +153,20 @@
     CHECK(test.Admit(MakeQuery("chat", contended, "large")) ==
           RefusalReason::kFairShare);
   }
-  SECTION("does not cost a small account its place") {
+  SECTION("does not cause refusals of small accounts") {
     CHECK_FALSE(test.Admit(MakeQuery("chat", contended, "small")));
     CHECK_FALSE(test.Admit(MakeQuery("chat", contended, "new")));
   }
-  SECTION("is not refused for one estimate out of line") {
+  SECTION("is not refused because of one high estimate") {
     test.now_ += seconds(5);
     test.Use("small", 1);
     CHECK_FALSE(test.Admit(MakeQuery("chat", milliseconds(1800), "large")));
   }
-  SECTION("may use what nobody else wants") {
+  SECTION("may use capacity that no other account needs") {
     test.now_ += seconds(5);
     CHECK_FALSE(test.Admit(MakeQuery("chat", milliseconds(1200), "large")));
   }
-  SECTION("gets its place back when its use has faded") {
+  SECTION("is admitted again when its use has decayed") {
     test.now_ += seconds(120);
     test.Use("small", 30);
     test.Use("large", 10);
@@ -178,10 +178,10 @@
 TEST_CASE("batch") {
   AdmissionTest test;
   test.Use("small", 1);
-  SECTION("uses what is left") {
+  SECTION("uses idle capacity") {
     CHECK_FALSE(test.Admit(MakeQuery("nightly", seconds(2))));
   }
-  SECTION("yields while interactive work is refused for want of capacity") {
+  SECTION("yields while interactive work is refused for lack of capacity") {
     CHECK(test.Admit(MakeQuery("chat", seconds(5))).has_value());
     test.Use("small", 20);
     CHECK(test.Admit(MakeQuery("nightly", seconds(2))) ==
@@ -214,27 +214,27 @@
     }
     return admitted;
   };
-  SECTION("over the limit of one request is refused, to no avail later") {
-    AdmissionQuery dear = query;
-    dear.expected_cost_ = 51;
-    CHECK(test.Admit(dear) == RefusalReason::kSpendLimit);
+  SECTION("over the limit of one request is refused without Retry-After") {
+    AdmissionQuery expensive = query;
+    expensive.expected_cost_ = 51;
+    CHECK(test.Admit(expensive) == RefusalReason::kSpendLimit);
     CHECK(test.last_->retry_after_ == Duration::zero());
   }
-  SECTION("holds to the leased share") {
+  SECTION("stays within the leased share") {
     CHECK_FALSE(test.Admit(MakeQuery("chat", seconds(1))));
     test.controller_.OnSpendShare("report", 50, test.now_ + seconds(10));
     CHECK(count_admitted(20) == 5);
     CHECK(test.last_->reason_ == RefusalReason::kSpendLimit);
     CHECK(test.controller_.SpendIsTight(test.now_, "report"));
   }
-  SECTION("counts what requests really cost") {
+  SECTION("counts the actual cost of requests") {
     CHECK_FALSE(test.Admit(MakeQuery("chat", seconds(1))));
     test.controller_.OnSpendShare("report", 50, test.now_ + seconds(10));
     CHECK_FALSE(test.Admit(query));
     test.controller_.OnFinish(test.now_, query, 40, true);
     CHECK(count_admitted(20) == 1);
   }
-  SECTION("falls to a floor after the lease, a tenth of its pace") {
+  SECTION("falls to a floor of a tenth of the lease's rate after its end") {
     CHECK_FALSE(test.Admit(MakeQuery("chat", seconds(1))));
     test.controller_.OnSpendShare("report", 1000, test.now_ + seconds(10));
     test.now_ += seconds(11);
@@ -257,7 +257,7 @@
   SECTION("differs from caller to caller") {
     CHECK(times.size() > 90);
   }
-  SECTION("spreads wider the more are refused") {
+  SECTION("spreads wider the more requests are refused") {
     CHECK(longest > seconds(20));
     CHECK(longest <= seconds(120));
   }
