--- a/include/citronlane/config/account_config.h
+++ b/include/citronlane/config/account_config.h
@@ -6,14 +6,14 @@
 
 namespace citronlane {
 
-/// A client account: who may call, and under which classes.
+/// A client account: its keys, and the classes that it may use.
 struct AccountConfig {
   std::string name_;
   /// Lower-case hexadecimal SHA-256 digests of the bearer keys in force.
   std::vector<std::string> key_digests_;
-  /// Class used when the request names none.
+  /// Class of requests that name none.
   std::string default_class_;
-  /// Classes the account may name; empty allows all.
+  /// Classes that requests may name; empty allows all.
   std::vector<std::string> classes_;
 };
 
--- a/include/citronlane/config/class_config.h
+++ b/include/citronlane/config/class_config.h
@@ -8,21 +8,22 @@
 
 namespace citronlane {
 
-/// Target of one class of work, as operators declare it. Everything else
-/// (weights, limits, splits) is derived.
+/// Targets and limits of one class of requests, as operators declare them.
+/// Weights, admission limits and deadline splits are derived from them.
 struct ClassConfig {
   std::string name_;
   /// Time to the first token; absent for classes without a stream.
   std::optional<Duration> first_token_target_;
-  /// Time to the whole answer.
+  /// Time to the full response.
   Duration answer_target_{};
-  /// Share of requests, 0 to 1, that must meet both times.
+  /// Fraction of requests, 0 to 1, that must meet both times.
   double attainment_ = 0.95;
-  /// Upper bound for one request, in micro-units of the declared costs.
+  /// Largest cost of one request, in micro-units; absent for no limit.
   std::optional<double> spend_per_request_;
-  /// Upper bound per hour over the whole fleet, same unit.
+  /// Largest cost of all requests of the fleet per hour, in micro-units; absent
+  /// for no limit.
   std::optional<double> spend_per_hour_;
-  /// Batch work takes what is left and yields at once.
+  /// Batch work uses idle capacity and yields to interactive work at once.
   bool batch_ = false;
 };
 
--- a/include/citronlane/config/cluster_config.h
+++ b/include/citronlane/config/cluster_config.h
@@ -13,9 +13,10 @@
 
 namespace citronlane {
 
-/// One whole version of the configuration that operators apply. Immutable
-/// once shared; every reference between its parts has been checked by
-/// ParseClusterConfig.
+/// One complete version of the configuration that operators apply: what is
+/// served and within which limits, not the settings of a process. Entries are
+/// keyed by name. Must not be changed once it is shared between threads; when
+/// it comes from ParseClusterConfig, all references between entries are valid.
 struct ClusterConfig {
   uint64_t version_ = 0;
   std::map<std::string, ClassConfig> classes_;
--- a/include/citronlane/config/parse_cluster_config.h
+++ b/include/citronlane/config/parse_cluster_config.h
@@ -11,9 +11,10 @@
 
 namespace citronlane {
 
-/// Reads one whole configuration document (JSON with comments) and checks
-/// every key, type, range and reference. Returns nothing and fills `faults`
-/// with all faults found, in document order, when any is wrong. `faults` must
+/// Parses a complete configuration document (JSON with comments) and checks
+/// every key, type, range and reference. `version` becomes the version of the
+/// result. If the document is invalid, returns nullopt and fills `faults` with
+/// all validation errors, sorted by line; otherwise clears `faults`, which must
 /// not be null. Thread safe.
 std::optional<ClusterConfig> ParseClusterConfig(std::string_view document,
                                                 uint64_t version,
--- a/include/citronlane/config/pipeline_config.h
+++ b/include/citronlane/config/pipeline_config.h
@@ -9,7 +9,7 @@
 
 namespace citronlane {
 
-/// A chain of one to six stages under one deadline.
+/// A sequence of one to six stages with a common deadline.
 struct PipelineConfig {
   std::string name_;
   Duration deadline_{};
--- a/include/citronlane/config/pool_config.h
+++ b/include/citronlane/config/pool_config.h
@@ -9,7 +9,7 @@
 
 namespace citronlane {
 
-/// A set of interchangeable backend servers and what they promise.
+/// A set of interchangeable backend servers and the guarantees they give.
 struct PoolConfig {
   std::string name_;
   StageKind kind_ = StageKind::kService;
@@ -17,11 +17,12 @@
   bool reports_load_ = true;
   /// Whether the servers refuse orders with an old fencing number.
   bool checks_fencing_ = false;
-  /// Whether an answer of 429 or 503 proves that nothing ran.
+  /// Whether a reply of 429 or 503 proves that nothing ran.
   bool rejection_means_not_run_ = false;
   /// Cost of one call, and of one generated token, in micro-units.
   double cost_per_call_ = 0;
   double cost_per_token_ = 0;
+  /// By server id.
   std::map<std::string, ServerConfig> servers_;
 };
 
--- a/include/citronlane/config/server_config.h
+++ b/include/citronlane/config/server_config.h
@@ -9,7 +9,7 @@
 /// One backend server of a pool.
 struct ServerConfig {
   std::string id_;
-  /// IP number, never a host name.
+  /// IP address, never a host name.
   std::string address_;
   uint16_t port_ = 0;
   std::string failure_domain_;
--- a/include/citronlane/config/service_config.h
+++ b/include/citronlane/config/service_config.h
@@ -9,9 +9,9 @@
 
 namespace citronlane {
 
-/// A plain service the system routes to beside the model pipelines. The first
-/// route that matches decides; with none, GET and HEAD may repeat and every
-/// other method may not.
+/// A service whose requests are forwarded to a single pool, without a pipeline.
+/// The first matching route determines whether a request may be repeated; if
+/// none matches, GET and HEAD may be, other methods may not.
 struct ServiceConfig {
   std::string name_;
   std::string pool_;
--- a/include/citronlane/config/service_route_config.h
+++ b/include/citronlane/config/service_route_config.h
@@ -5,7 +5,7 @@
 
 namespace citronlane {
 
-/// A route of a plain service: an HTTP method and a path prefix.
+/// A route of a service without a pipeline: an HTTP method and a path prefix.
 struct ServiceRouteConfig {
   std::string method_;
   std::string prefix_;
--- a/include/citronlane/config/stage_config.h
+++ b/include/citronlane/config/stage_config.h
@@ -10,13 +10,13 @@
 struct StageConfig {
   std::string name_;
   std::string pool_;
-  /// A stage that may not repeat is never hedged, and never retried once a
-  /// byte of its call was sent.
+  /// The stage must not run twice: it is never hedged, and retried only if no
+  /// byte of its call was sent or the server proved that it did not run.
   bool non_idempotent_ = false;
-  /// Engines only: model name, and the largest number of tokens.
+  /// Engines only: model name, and the largest number of tokens to generate.
   std::string model_;
   uint32_t max_tokens_ = 256;
-  /// Retrievers and rerankers only: how many documents to keep.
+  /// Retrievers and rerankers only: the number of documents to return.
   uint32_t top_k_ = 8;
 };
 
--- a/include/citronlane/config/stage_kind.h
+++ b/include/citronlane/config/stage_kind.h
@@ -6,7 +6,7 @@
 
 namespace citronlane {
 
-/// What a pool of backend servers does.
+/// Kind of the work that a pool of backend servers does.
 enum class StageKind {
   kEncoder,
   kRetriever,
@@ -19,7 +19,7 @@
 /// safe.
 std::string_view ToString(StageKind kind);
 
-/// Returns the kind with that text, or nothing. Thread safe.
+/// Returns the kind with that text, or nullopt. Thread safe.
 std::optional<StageKind> ParseStageKind(std::string_view text);
 
 }  // namespace citronlane
--- a/src/config/parse_cluster_config.cc
+++ b/src/config/parse_cluster_config.cc
@@ -27,7 +27,7 @@
 constexpr std::array<std::string_view, 7> kMethods = {
     "GET", "HEAD", "POST", "PUT", "PATCH", "DELETE", "OPTIONS"};
 
-// Reads one document; each Read* member fills one section of `config_`.
+// Parses one document; each Read* member fills one kind of entry of `config_`.
 class Parser {
  public:
   explicit Parser(std::vector<Fault>* faults) : faults_(faults) {}
@@ -54,8 +54,9 @@
   std::vector<Fault>* const faults_;
   ClusterConfig config_;
   std::set<std::string> key_digests_;
-  // Pools whose kind is a fault already; their users are not faulted again.
-  std::set<std::string> unknown_kinds_;
+  // Pools with an invalid kind, which is reported once and not again for the
+  // stages and services that refer to them.
+  std::set<std::string> pools_of_unknown_kind_;
 };
 
 std::string UnknownReference(std::string_view section, std::string_view name) {
@@ -63,8 +64,8 @@
          std::string(name) + "\"";
 }
 
-// Sections that others refer to are read first; FormatFaults and the sort at
-// the end bring the faults back into document order.
+// Sections that others refer to are read first. ParseClusterConfig sorts the
+// validation errors by line afterwards.
 void Parser::Read(const JsonValue& root) {
   ObjectReader reader(root, "", faults_);
   reader.Entries("classes", Need::kOptional,
@@ -164,7 +165,7 @@
   if (reader.Choice("kind", Need::kRequired, kKinds, &kind)) {
     result.kind_ = *ParseStageKind(kind);
   } else {
-    unknown_kinds_.insert(name);
+    pools_of_unknown_kind_.insert(name);
   }
   reader.Bool("reports_load", &result.reports_load_);
   reader.Bool("checks_fencing", &result.checks_fencing_);
@@ -239,7 +240,7 @@
     reader.AddFault("pool", UnknownReference("pools", stage.pool_));
     return;
   }
-  if (unknown_kinds_.count(stage.pool_) > 0) {
+  if (pools_of_unknown_kind_.count(stage.pool_) > 0) {
     return;
   }
   const StageKind kind = pool->second.kind_;
@@ -249,7 +250,7 @@
                     "engine; plain services have routes under \"services\"");
   }
   if (kind == StageKind::kEngine && stage.model_.empty()) {
-    reader.AddFault("model", "missing; a stage on an engine pool names one");
+    reader.AddFault("model", "missing; required with a pool of kind engine");
   }
 }
 
@@ -261,7 +262,7 @@
     if (pool == config_.pools_.end()) {
       reader.AddFault("pool", UnknownReference("pools", result.pool_));
     } else if (pool->second.kind_ != StageKind::kService &&
-               unknown_kinds_.count(result.pool_) == 0) {
+               pools_of_unknown_kind_.count(result.pool_) == 0) {
       reader.AddFault("pool", "must be a pool of kind service");
     }
   }
--- a/tests/unit-config.cc
+++ b/tests/unit-config.cc
@@ -42,7 +42,7 @@
 }  // namespace
 
 TEST_CASE("configuration") {
-  SECTION("is read whole") {
+  SECTION("is parsed completely") {
     std::vector<Fault> faults;
     const auto config = ParseClusterConfig(kGood, 7, &faults);
     INFO(faults.size() << (faults.empty() ? "" : faults[0].message_));
@@ -69,7 +69,7 @@
     std::vector<Fault> faults;
     CHECK(ParseClusterConfig("{}", 1, &faults));
   }
-  SECTION("reports all faults at once, in document order") {
+  SECTION("reports all validation errors at once, in document order") {
     const std::vector<std::string> found = FaultsOf(R"({
   "classes": {
     "chat": {"answer_ms": "soon", "attainment": 1.5, "weight": 3},
@@ -122,7 +122,7 @@
     }
     CHECK(found.size() == wanted.size());
   }
-  SECTION("names the fault of each single break") {
+  SECTION("reports exactly one validation error for each single change") {
     struct Row {
       std::string find_;
       std::string replace_;
