--- a/include/citronlane/orders/fencing_counter.h
+++ b/include/citronlane/orders/fencing_counter.h
@@ -7,15 +7,15 @@
 
 namespace citronlane {
 
-/// Gives each leadership a fencing number above all before. Pure. Not thread
-/// safe.
+/// Assigns each leadership a fencing number above all earlier ones. Replicated
+/// state: every replica applies the same calls. Not thread safe.
 class FencingCounter {
  public:
-  /// Returns the number of this leadership; 0 when a later term has taken one.
-  /// A resend gets the same number.
+  /// Returns the number of the leadership of `node` in `term`; 0 if a later
+  /// term, or another node in the same term, already has one. Idempotent.
   uint64_t Take(uint64_t node, uint64_t term);
 
-  /// Newest number given; 0 for none.
+  /// Highest number assigned so far; 0 for none.
   uint64_t present() const { return number_; }
 
   void Save(wire::FencingSnapshot* snapshot) const;
--- a/include/citronlane/orders/order_book.h
+++ b/include/citronlane/orders/order_book.h
@@ -11,23 +11,30 @@
 
 namespace citronlane {
 
-/// Orders to engines and how far they are. One order at a time is open for a
-/// server; starts that read the weight store are spaced over the whole fleet,
-/// whoever leads. Pure. Not thread safe.
+/// Orders to model engines and their phases. Orders to one server start one at
+/// a time, and orders that read the weight store are rate limited over the
+/// entire fleet, also across changes of the leader. It sends nothing: see
+/// OrderGate for when an order may be sent. Replicated state: every replica
+/// applies the same calls. Not thread safe.
 class OrderBook {
  public:
-  /// Takes an order. A known id keeps its first order. False when the book is
-  /// full of unfinished ones.
+  /// Adds an order. One with a known id is ignored and returns true. If the
+  /// book is full, the oldest finished order is removed; returns false if there
+  /// is none.
   bool Submit(const wire::SubmitOrder& command);
 
-  /// Opens an order for the leader with fencing number `present`. False when
-  /// the number is old, another order is open there, or the weight store's rate
-  /// does not allow it yet.
+  /// Starts an order for the leader. `present` is the current fencing number,
+  /// `time_ms` the cluster time. Returns false if the order is unknown or
+  /// finished, the command's fencing number is not the current one, an earlier
+  /// order to the same server is unfinished, or the rate limit of the weight
+  /// store does not allow it yet.
   bool Start(uint64_t time_ms,
              uint64_t present,
              const wire::StartOrder& command);
 
-  /// Ends an attempt. False when a newer number has opened the order since.
+  /// Ends an attempt: the order is done, failed, or pending again for a retry.
+  /// Returns false if the order is not started under the command's fencing
+  /// number, in particular if a newer leader has started it since.
   bool Finish(const wire::FinishOrder& command);
 
   /// Returns the order, or null.
@@ -35,8 +42,9 @@
 
   using Filter = std::function<bool(const wire::EngineOrder&)>;
 
-  /// Returns the first order that the leader with this number may open now and
-  /// that `allowed` lets pass, or null.
+  /// Returns the oldest order that the leader with this fencing number may
+  /// start now and for which `allowed` returns true, or null. `limits` has the
+  /// rate limit of the weight store; its other fields are not used.
   const wire::EngineOrder* Next(uint64_t time_ms,
                                 uint64_t number,
                                 const wire::StartOrder& limits,
@@ -54,11 +62,11 @@
                 uint64_t number,
                 const wire::StartOrder& limits,
                 const wire::EngineOrder& order) const;
-  bool WeightStoreAllows(uint64_t time_ms,
-                         const wire::StartOrder& limits) const;
+  bool WeightStoreRateAllows(uint64_t time_ms,
+                             const wire::StartOrder& limits) const;
 
   std::deque<wire::EngineOrder> orders_;
-  /// When the weight store's burst is whole again, in cluster time.
+  /// Cluster time at which the weight store's token bucket is full again.
   uint64_t weight_store_full_ms_ = 0;
 };
 
--- a/include/citronlane/orders/order_gate.h
+++ b/include/citronlane/orders/order_gate.h
@@ -9,28 +9,33 @@
 
 namespace citronlane {
 
-/// Decides on a leader when an order may go out, so that an order under an old
-/// fencing number never acts after one under a newer number. Engines that check
-/// the number need only the number; for the others a new leader waits until
-/// every order of an earlier one is over, and each order has a short life on a
-/// connection of its own. Pure. Not thread safe.
+/// Decides on the leader when an order may be proposed and sent, so that an
+/// order with an old fencing number never takes effect after one with a newer
+/// number. Engines that check fencing numbers need no more than that. For the
+/// others, a new leader waits until every order of earlier leaders has expired:
+/// each order is sent on a connection of its own, which is closed when the
+/// order's validity ends. It sends nothing itself. Time is passed in. Not
+/// thread safe.
 class OrderGate {
  public:
   explicit OrderGate(const OrderGateOptions& options);
 
-  /// This node leads since `now`, under this number.
+  /// This node became the leader at `now`, with this fencing number.
   void OnLead(uint64_t number, TimePoint now);
+  /// This node is not the leader any more.
   void OnLeadLost();
 
-  /// Number of the present leadership; 0 for none.
+  /// Fencing number of the current leadership; 0 when this node does not lead.
   uint64_t number() const { return number_; }
 
-  /// Whether an order to such an engine may be proposed now.
+  /// Whether an order may be proposed now to an engine that checks fencing
+  /// numbers, or to one that does not.
   bool MayPropose(bool checks_fencing, TimePoint now) const;
 
-  /// Returns by when the connection of an order must be closed, when it may be
-  /// sent: proposed at `proposed` under `number`, committed since, while the
-  /// leader lease holds (`has_lease`). Nothing when it must not be sent.
+  /// Returns the time by which the connection of a committed order must be
+  /// closed, or nullopt if the order must not be sent. It was proposed at
+  /// `proposed` under `number`; `has_lease` is whether this node holds the
+  /// leader lease now.
   std::optional<TimePoint> SendUntil(uint64_t number,
                                      TimePoint proposed,
                                      TimePoint now,
@@ -39,7 +44,7 @@
  private:
   const OrderGateOptions options_;
   uint64_t number_ = 0;
-  TimePoint lead_since_{};
+  TimePoint leading_since_{};
 };
 
 }  // namespace citronlane
--- a/include/citronlane/orders/order_gate_options.h
+++ b/include/citronlane/orders/order_gate_options.h
@@ -5,13 +5,13 @@
 
 namespace citronlane {
 
-/// Times that an OrderGate relies on.
+/// Time limits on which the safety of an OrderGate depends.
 struct OrderGateOptions {
   /// Longest time from the proposal of an order to the end of its connection.
   Duration validity_ = std::chrono::seconds(2);
-  /// Longest time a leader that was cut off believes that it leads.
+  /// Longest time for which a partitioned leader still assumes that it leads.
   Duration leader_lease_ = std::chrono::milliseconds(250);
-  /// How far clocks may run apart, as a share.
+  /// Largest difference between the rates of two clocks, as a fraction.
   double clock_rate_error_ = 0.01;
 };
 
--- a/src/orders/order_book.cc
+++ b/src/orders/order_book.cc
@@ -5,7 +5,7 @@
 namespace citronlane {
 namespace {
 
-bool IsOver(const wire::EngineOrder& order) {
+bool IsFinished(const wire::EngineOrder& order) {
   return order.phase() == wire::EngineOrder::DONE ||
          order.phase() == wire::EngineOrder::FAILED;
 }
@@ -21,11 +21,12 @@
     return true;
   }
   if (orders_.size() >= command.max_orders()) {
-    const auto over = std::find_if(orders_.begin(), orders_.end(), IsOver);
-    if (over == orders_.end()) {
+    const auto finished =
+        std::find_if(orders_.begin(), orders_.end(), IsFinished);
+    if (finished == orders_.end()) {
       return false;
     }
-    orders_.erase(over);
+    orders_.erase(finished);
   }
   wire::EngineOrder order = command.order();
   order.set_phase(wire::EngineOrder::PENDING);
@@ -104,29 +105,29 @@
                          uint64_t number,
                          const wire::StartOrder& limits,
                          const wire::EngineOrder& order) const {
-  // An order that an earlier leader opened may be opened again: the number
-  // makes the engine's copy of the old one harmless.
-  const bool openable = order.phase() == wire::EngineOrder::PENDING ||
-                        (order.phase() == wire::EngineOrder::STARTED &&
-                         order.fencing_number() < number);
-  if (!openable) {
+  // An order that an earlier leader started may be started again: the higher
+  // fencing number makes the engine's copy of the earlier attempt harmless.
+  const bool is_startable = order.phase() == wire::EngineOrder::PENDING ||
+                            (order.phase() == wire::EngineOrder::STARTED &&
+                             order.fencing_number() < number);
+  if (!is_startable) {
     return false;
   }
-  // Orders to one server act in the order they were given.
+  // Orders to one server take effect in the order of their submission.
   for (const wire::EngineOrder& earlier : orders_) {
     if (&earlier == &order) {
       break;
     }
-    if (earlier.server() == order.server() && !IsOver(earlier)) {
+    if (earlier.server() == order.server() && !IsFinished(earlier)) {
       return false;
     }
   }
-  return !ReadsWeightStore(order) || WeightStoreAllows(time_ms, limits);
+  return !ReadsWeightStore(order) || WeightStoreRateAllows(time_ms, limits);
 }
 
-bool OrderBook::WeightStoreAllows(uint64_t time_ms,
-                                  const wire::StartOrder& limits) const {
-  // A token bucket kept as the time at which it is full again.
+bool OrderBook::WeightStoreRateAllows(uint64_t time_ms,
+                                      const wire::StartOrder& limits) const {
+  // A token bucket, represented by the time at which it is full again.
   const uint64_t empty_ms = limits.interval_ms() * limits.burst();
   return std::max(weight_store_full_ms_, time_ms) + limits.interval_ms() <=
          time_ms + empty_ms;
--- a/src/orders/order_gate.cc
+++ b/src/orders/order_gate.cc
@@ -6,7 +6,7 @@
 
 void OrderGate::OnLead(uint64_t number, TimePoint now) {
   number_ = number;
-  lead_since_ = now;
+  leading_since_ = now;
 }
 
 void OrderGate::OnLeadLost() {
@@ -21,9 +21,9 @@
     return true;
   }
   const Duration wait = options_.leader_lease_ + options_.validity_;
-  const auto stretched = std::chrono::duration_cast<Duration>(
+  const auto safe_wait = std::chrono::duration_cast<Duration>(
       wait * (1.0 + 2 * options_.clock_rate_error_));
-  return now >= lead_since_ + stretched;
+  return now >= leading_since_ + safe_wait;
 }
 
 std::optional<TimePoint> OrderGate::SendUntil(uint64_t number,
--- a/tests/unit-orders.cc
+++ b/tests/unit-orders.cc
@@ -44,55 +44,58 @@
   return command;
 }
 
-// An engine that acts on orders as they arrive.
+// An engine that executes orders as they arrive.
 struct Engine {
-  bool checks_ = false;
+  bool checks_fencing_ = false;
   uint64_t highest_ = 0;
-  bool old_acted_ = false;
+  bool executed_old_ = false;
 
   void OnOrder(uint64_t number) {
-    if (number < highest_ && !checks_) {
-      old_acted_ = true;
+    if (number < highest_ && !checks_fencing_) {
+      executed_old_ = true;
     }
     highest_ = std::max(highest_, number);
   }
 };
 
-// Leaders come and go; each sends while it believes to lead, on connections
-// that live as long as its gate allows. Returns whether an old number acted
-// after a newer one.
-bool OldActsAfterNew(uint32_t seed, bool checks, const OrderGateOptions& used) {
+// Simulates a sequence of leaders, each of which sends while it assumes to
+// lead, on connections that are open as long as its gate allows. Returns
+// whether an order with an old number was executed after a newer one.
+bool ExecutesOldAfterNew(uint32_t seed,
+                         bool checks_fencing,
+                         const OrderGateOptions& options) {
   std::mt19937 random(seed);
   const auto below = [&random](int64_t limit) {
     return static_cast<int64_t>(random() % limit);
   };
   const OrderGateOptions real;
   Engine engine;
-  engine.checks_ = checks;
+  engine.checks_fencing_ = checks_fencing;
   std::multimap<int64_t, uint64_t> arrivals;
   int64_t now = 0;
   for (uint64_t number = 1; number <= 8; ++number) {
-    OrderGate gate(used);
+    OrderGate gate(options);
     gate.OnLead(number, At(now));
-    const int64_t elected = now;
+    const int64_t start = now;
     const int64_t term_end = now + below(6000);
-    for (now = elected; now < term_end; now += 1 + below(100)) {
-      if (gate.MayPropose(checks, At(now))) {
+    for (now = start; now < term_end; now += 1 + below(100)) {
+      if (gate.MayPropose(checks_fencing, At(now))) {
         const int64_t sent = now + below(500);
         const auto until =
             gate.SendUntil(number, At(now), At(sent), sent < term_end);
         if (until) {
-          // Bytes on a connection arrive before it is closed; a checking
-          // engine may see them at any time.
+          // Bytes on a connection arrive before it is closed. An engine that
+          // checks fencing numbers may receive them at any time.
           const auto last =
               std::chrono::duration_cast<std::chrono::milliseconds>(
                   until->time_since_epoch());
           const int64_t window = std::max<int64_t>(1, last.count() - sent);
-          arrivals.emplace(sent + below(checks ? 20000 : window), number);
+          arrivals.emplace(sent + below(checks_fencing ? 20000 : window),
+                           number);
         }
       }
     }
-    // The next leader is elected once the lease of this one is over.
+    // The next leader is elected once the lease of this one has expired.
     now = term_end + std::chrono::duration_cast<std::chrono::milliseconds>(
                          real.leader_lease_)
                          .count();
@@ -100,7 +103,7 @@
   for (const auto& arrival : arrivals) {
     engine.OnOrder(arrival.second);
   }
-  return engine.old_acted_;
+  return engine.executed_old_;
 }
 
 }  // namespace
@@ -123,14 +126,14 @@
   REQUIRE(Submit(&book, "d", "s3"));
   REQUIRE(Submit(&book, "e", "s4", wire::EngineOrder::CHANGE_ROLE));
 
-  SECTION("opens one order a server, in their order") {
+  SECTION("starts one order at a time for each server, in their order") {
     REQUIRE(book.Start(1000, 1, Start("a", 1)));
     CHECK_FALSE(book.Start(1000, 1, Start("b", 1)));
     CHECK_FALSE(book.Start(1000, 1, Start("a", 1)));
     REQUIRE(book.Finish(Finish("a", 1, true)));
     CHECK(book.Start(5000, 1, Start("b", 1)));
   }
-  SECTION("refuses an old number") {
+  SECTION("refuses an old fencing number") {
     CHECK_FALSE(book.Start(1000, 2, Start("a", 1)));
     REQUIRE(book.Start(1000, 1, Start("a", 1)));
     REQUIRE(book.Start(9000, 2, Start("a", 2)));
@@ -138,7 +141,7 @@
     CHECK(book.Find("a")->phase() == wire::EngineOrder::STARTED);
     CHECK(book.Finish(Finish("a", 2, true)));
   }
-  SECTION("holds the weight store's rate, also across leaders") {
+  SECTION("limits the rate of weight store reads, also across leaders") {
     REQUIRE(book.Start(1000, 1, Start("a", 1)));
     REQUIRE(book.Start(1000, 1, Start("c", 1)));
     const auto any = [](const wire::EngineOrder&) { return true; };
@@ -152,12 +155,12 @@
     CHECK_FALSE(next.Start(1999, 2, Start("d", 2)));
     CHECK(next.Start(2000, 2, Start("d", 2)));
   }
-  SECTION("reads nothing from a weight store without a budget") {
+  SECTION("starts no weight store read with a burst of 0") {
     wire::StartOrder none = Start("a", 1);
     none.set_burst(0);
     CHECK_FALSE(book.Start(1000, 1, none));
   }
-  SECTION("keeps the first order of an id, and its bound") {
+  SECTION("keeps the first order of an id and the bound of orders") {
     REQUIRE(Submit(&book, "a", "s9"));
     CHECK(book.Find("a")->server() == "s1");
     REQUIRE(Submit(&book, "f", "s6"));
@@ -184,26 +187,26 @@
     gate.OnLeadLost();
     CHECK_FALSE(gate.SendUntil(3, At(5000), At(5100), true));
   }
-  SECTION("a new leader waits for engines that do not check") {
+  SECTION("a new leader waits for engines that do not check the number") {
     CHECK(gate.MayPropose(true, At(1000)));
     CHECK_FALSE(gate.MayPropose(false, At(1000 + 2250)));
     CHECK(gate.MayPropose(false, At(1000 + 2295)));
   }
-  SECTION("an old number never acts after a newer one") {
+  SECTION("an order with an old number is never executed after a newer one") {
     for (uint32_t seed = 0; seed < 10000; ++seed) {
       INFO("seed " << seed);
-      REQUIRE_FALSE(OldActsAfterNew(seed, false, OrderGateOptions()));
-      REQUIRE_FALSE(OldActsAfterNew(seed, true, OrderGateOptions()));
+      REQUIRE_FALSE(ExecutesOldAfterNew(seed, false, OrderGateOptions()));
+      REQUIRE_FALSE(ExecutesOldAfterNew(seed, true, OrderGateOptions()));
     }
   }
-  SECTION("the schedules would show a leader that does not wait") {
-    OrderGateOptions hasty;
-    hasty.leader_lease_ = std::chrono::milliseconds(-1900);
-    bool shown = false;
-    for (uint32_t seed = 0; seed < 200 && !shown; ++seed) {
-      shown = OldActsAfterNew(seed, false, hasty);
+  SECTION("the simulation detects a leader that does not wait long enough") {
+    OrderGateOptions too_short;
+    too_short.leader_lease_ = std::chrono::milliseconds(-1900);
+    bool detected = false;
+    for (uint32_t seed = 0; seed < 200 && !detected; ++seed) {
+      detected = ExecutesOldAfterNew(seed, false, too_short);
     }
-    CHECK(shown);
+    CHECK(detected);
   }
 }
 
