--- a/bench/bench-policy-decision.cc
+++ b/bench/bench-policy-decision.cc
@@ -33,8 +33,8 @@
   return pool;
 }
 
-/// A router that has learned, with peers' figures and, when `overdue`, calls in
-/// flight at every server that never end.
+/// A router with observations, peer loads and, if `overdue`, calls in flight at
+/// every server that never end.
 class WarmRouter {
  public:
   WarmRouter(int servers, bool overdue) : pool_(MakePool(servers)) {
--- a/bench/bench-policy.cc
+++ b/bench/bench-policy.cc
@@ -43,7 +43,7 @@
 std::vector<RunResult> RunAll(const Arguments& arguments) {
   std::vector<PolicyOptions> policies = {ProjectPolicy()};
   for (const PolicyOptions& policy :
-       arguments.levers_ ? LeverPolicies() : BaselinePolicies()) {
+       arguments.levers_ ? AblationPolicies() : BaselinePolicies()) {
     policies.push_back(policy);
   }
   std::vector<RunResult> results;
@@ -74,8 +74,8 @@
   for (const Bound& bound : RunShortForm(seed)) {
     all = all && bound.Holds();
     std::cout << (bound.Holds() ? "held: " : "BROKEN: ") << bound.name_ << ": "
-              << bound.value_ << ", bound " << bound.least_ << ".."
-              << bound.most_ << "\n";
+              << bound.value_ << ", bound " << bound.min_ << ".." << bound.max_
+              << "\n";
   }
   return all;
 }
--- a/bench/policy/attempt.h
+++ b/bench/policy/attempt.h
@@ -13,17 +13,17 @@
 
 class ServerModel;
 
-/// One stage call of a request, from the gateway's side.
+/// One stage call of a request, as its gateway tracks it.
 struct Attempt {
   std::shared_ptr<BackendCall> call_;
   ServerModel* server_ = nullptr;
   CallShape shape_;
   TimePoint start_{};
   bool hedge_ = false;
-  /// Known once it is over.
+  /// Set when the call ends.
   double cost_ = 0;
   bool first_byte_ = false;
-  bool over_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace citronlane
--- a/bench/policy/deployment.cc
+++ b/bench/policy/deployment.cc
@@ -14,9 +14,9 @@
 constexpr double kMeanTokens = 48;
 constexpr uint32_t kMaxTokens = 128;
 constexpr double kAttainment = 0.95;
-/// Part of calls that find their prefix cached, for the capacity alone.
-constexpr double kUsualHits = 0.5;
-constexpr double kEnginePart = 0.95;
+/// Fraction of calls with a cached prefix, used for the capacity only.
+constexpr double kPrefixHitRatio = 0.5;
+constexpr double kEngineRequestRatio = 0.95;
 
 PoolModel Engines(int servers) {
   PoolModel pool;
@@ -27,7 +27,7 @@
   pool.call_time_ = milliseconds(160);
   pool.token_time_ = milliseconds(15);
   pool.token_time_growth_ = 0.05;
-  pool.hit_part_ = 0.25;
+  pool.cached_prefill_ratio_ = 0.25;
   pool.cached_prefixes_ = 16;
   pool.cost_per_call_ = 20;
   pool.cost_per_token_ = 2;
@@ -62,12 +62,12 @@
 ClassConfig ClassOf(const std::string& name,
                     std::optional<Duration> first_token,
                     Duration answer) {
-  ClassConfig declared;
-  declared.name_ = name;
-  declared.first_token_target_ = first_token;
-  declared.answer_target_ = answer;
-  declared.attainment_ = kAttainment;
-  return declared;
+  ClassConfig class_config;
+  class_config.name_ = name;
+  class_config.first_token_target_ = first_token;
+  class_config.answer_target_ = answer;
+  class_config.attainment_ = kAttainment;
+  return class_config;
 }
 
 PipelineConfig PipelineOf(const std::string& name,
@@ -84,14 +84,15 @@
 
 double EngineCapacity(const PoolModel& pool) {
   const double full = 1 + pool.token_time_growth_ * (pool.slots_ - 1);
-  const double reading = (1 - kUsualHits) + kUsualHits * pool.hit_part_;
+  const double prefill =
+      (1 - kPrefixHitRatio) + kPrefixHitRatio * pool.cached_prefill_ratio_;
   const double us =
-      reading * static_cast<double>(pool.call_time_.count()) +
+      prefill * static_cast<double>(pool.call_time_.count()) +
       kMeanTokens * full * static_cast<double>(pool.token_time_.count());
   return pool.servers_ * pool.slots_ * 1e6 / us;
 }
 
-/// Fills the configuration that the pools and classes amount to.
+/// Fills in the configuration and the capacity from the pools and accounts.
 void Complete(Deployment* deployment) {
   ClusterConfig& config = deployment->config_;
   config.version_ = 1;
@@ -114,16 +115,16 @@
     config.accounts_[account.name_].name_ = account.name_;
   }
   deployment->capacity_ =
-      EngineCapacity(deployment->pool(kEngines)) / kEnginePart;
+      EngineCapacity(deployment->pool(kEngines)) / kEngineRequestRatio;
 }
 
 void AddClass(Deployment* deployment,
-              const ClassConfig& declared,
+              const ClassConfig& class_config,
               const std::string& pipeline,
-              double part) {
-  deployment->config_.classes_[declared.name_] = declared;
-  deployment->classes_.push_back({declared.name_, part});
-  deployment->pipeline_of_[declared.name_] = pipeline;
+              double fraction) {
+  deployment->config_.classes_[class_config.name_] = class_config;
+  deployment->classes_.push_back({class_config.name_, fraction});
+  deployment->pipeline_of_[class_config.name_] = pipeline;
 }
 
 void AddPipeline(Deployment* deployment, const PipelineConfig& pipeline) {
@@ -150,7 +151,7 @@
   Deployment qurak;
   qurak.name_ = "qurak";
   qurak.gateways_ = 7;
-  qurak.domain_distance_ = microseconds(1500);
+  qurak.domain_latency_ = microseconds(1500);
   qurak.accounts_ = Accounts();
   qurak.pools_ = {
       Engines(12),
@@ -175,7 +176,7 @@
   Deployment brazos;
   brazos.name_ = "brazos";
   brazos.gateways_ = 6;
-  brazos.domain_distance_ = microseconds(500);
+  brazos.domain_latency_ = microseconds(500);
   brazos.accounts_ = Accounts();
   brazos.pools_ = {
       Engines(18),
--- a/bench/policy/deployment.h
+++ b/bench/policy/deployment.h
@@ -11,32 +11,32 @@
 
 namespace citronlane {
 
-/// One user's sizes: what the traffic asks for and what serves it.
+/// The traffic mix and the pools of one modelled user.
 struct Deployment {
   struct Share {
     std::string name_;
-    double part_ = 0;
+    double fraction_ = 0;
   };
 
   std::string name_;
   int gateways_ = 7;
   int domains_ = 3;
-  Duration domain_distance_{};
+  Duration domain_latency_{};
   std::vector<PoolModel> pools_;
   std::vector<Share> accounts_;
   std::vector<Share> classes_;
   /// Pipeline of each class.
   std::map<std::string, std::string> pipeline_of_;
   ClusterConfig config_;
-  /// Requests a second that the engines carry at full batches.
+  /// Requests per second that the engines can serve with full batches.
   double capacity_ = 0;
 
   const PoolModel& pool(const std::string& name) const;
 };
 
-/// Twelve model workers, four pools beside them, three failure domains.
+/// Twelve model workers, four other pools, three failure domains.
 Deployment MakeQurak();
-/// Eighteen model workers and a large share of batch work.
+/// Eighteen model workers and a large fraction of batch work.
 Deployment MakeBrazos();
 
 }  // namespace citronlane
--- a/bench/policy/fault.h
+++ b/bench/policy/fault.h
@@ -7,20 +7,21 @@
 
 namespace citronlane {
 
-/// Something that goes wrong, or is done, at one time of a scenario.
+/// A failure or an operation during a scenario.
 struct Fault {
   enum class Kind {
     /// The servers are slower by `factor_` until the end.
     kSlow,
-    /// The servers stop mid-work and never answer.
+    /// The servers hang: they accept calls and never reply.
     kStop,
-    /// The servers answer every call at once with an error.
+    /// The servers reply to every call at once with an error.
     kErrors,
-    /// The servers refuse connections; a restart ends it.
+    /// The servers refuse connections until they are restarted.
     kDown,
-    /// A failure domain is silent, with its gateways; a restart ends it.
+    /// The gateways of a failure domain fail, and its servers are unreachable
+    /// until they are restarted.
     kDomainLoss,
-    /// The pool's servers leave, drain and restart one by one.
+    /// The pool's servers drain and restart one by one.
     kRollingRestart,
   };
 
--- a/bench/policy/gateway_attempts.cc
+++ b/bench/policy/gateway_attempts.cc
@@ -37,7 +37,7 @@
 
 void GatewayModel::Submit(const RunPtr& run, const AttemptPtr& attempt) {
   BackendCall& call = *attempt->call_;
-  const Duration distance = Distance(*attempt->server_);
+  const Duration distance = NetworkLatency(*attempt->server_);
   call.work_ = run->spec_->work_[run->stage_];
   call.priority_ = attempt->shape_.priority_;
   call.prefix_ = attempt->shape_.prefix_hash_;
@@ -46,12 +46,12 @@
         std::max(1U, run->spec_->tokens_ -
                          std::min(run->tokens_done_, run->spec_->tokens_));
   }
-  // The actions refer back weakly: a call must not keep its own owner alive.
+  // Weak references: a call must not keep the attempt that owns it alive.
   const std::weak_ptr<Attempt> weak = attempt;
   const auto later = [this, run, weak, distance](auto action) {
     queue_->After(distance, [this, run, weak, action] {
       const AttemptPtr attempt = weak.lock();
-      if (attempt && !attempt->over_) {
+      if (attempt && !attempt->finished_) {
         action(attempt);
       }
     });
@@ -64,17 +64,17 @@
       OnReply(run, a, outcome);
     });
   };
-  call.on_frozen_ = [this, run, later] {
-    later([this, run](const AttemptPtr& a) { OnFrozen(run, a); });
+  call.on_hang_ = [this, run, later] {
+    later([this, run](const AttemptPtr& a) { OnHang(run, a); });
   };
   queue_->After(distance, [this, run, attempt] {
-    if (attempt->over_) {
+    if (attempt->finished_) {
       return;
     }
     attempt->server_->Submit(attempt->call_);
     if (attempt->server_->silent()) {
       queue_->After(kConnectTimeout, [this, run, attempt] {
-        if (!attempt->over_) {
+        if (!attempt->finished_) {
           OnReply(run, attempt, CallOutcome::kConnectFailed);
         }
       });
@@ -96,7 +96,7 @@
 }
 
 void GatewayModel::OnHedgeTimer(const RunPtr& run, const AttemptPtr& attempt) {
-  if (attempt->over_ || attempt->first_byte_ || !alive_) {
+  if (attempt->finished_ || attempt->first_byte_ || !alive_) {
     return;
   }
   PoolPolicy& pool = PoolOf(*run);
@@ -119,7 +119,7 @@
 }
 
 void GatewayModel::OnShareTimer(const RunPtr& run, const AttemptPtr& attempt) {
-  if (attempt->over_ || !alive_ || !TryAgain(run, CallOutcome::kTimeout)) {
+  if (attempt->finished_ || !alive_ || !TryRetry(run, CallOutcome::kTimeout)) {
     return;
   }
   Close(run, attempt, CallOutcome::kTimeout);
@@ -135,14 +135,14 @@
   CancelOthers(run, attempt);
 }
 
-void GatewayModel::OnFrozen(const RunPtr& run, const AttemptPtr& attempt) {
+void GatewayModel::OnHang(const RunPtr& run, const AttemptPtr& attempt) {
   const auto stall = PoolOf(*run).router_.StreamStallTimeout();
   if (!options_.continue_streams_ || !attempt->first_byte_ || !stall) {
     return;
   }
   const uint32_t done = attempt->call_->TokensAt(queue_->now());
   queue_->After(*stall, [this, run, attempt, done] {
-    if (attempt->over_ || !alive_) {
+    if (attempt->finished_ || !alive_) {
       return;
     }
     run->tokens_done_ += done;
@@ -154,7 +154,7 @@
 void GatewayModel::Close(const RunPtr& run,
                          const AttemptPtr& attempt,
                          CallOutcome outcome) {
-  attempt->over_ = true;
+  attempt->finished_ = true;
   PoolPolicy& pool = PoolOf(*run);
   const TimePoint now = queue_->now();
   const uint32_t tokens = attempt->call_->TokensAt(now);
@@ -169,19 +169,19 @@
   attempt->cost_ = cost;
   if (attempt->shape_.expected_tokens_ > 0 &&
       attempt->call_->state_ != BackendCall::State::kQueued) {
-    const TimePoint from = std::max(attempt->call_->began_, window_from_);
+    const TimePoint from = std::max(attempt->call_->started_, window_from_);
     const TimePoint to = std::min(now, window_to_);
     run->engine_time_ += std::max(Duration::zero(), to - from);
   }
   attempt->server_->Cancel(attempt->call_);
 }
 
-void GatewayModel::CancelOthers(const RunPtr& run, const AttemptPtr& kept) {
+void GatewayModel::CancelOthers(const RunPtr& run, const AttemptPtr& winner) {
   for (const AttemptPtr& attempt : run->attempts_) {
-    if (attempt != kept && !attempt->over_) {
+    if (attempt != winner && !attempt->finished_) {
       Close(run, attempt, CallOutcome::kCancelled);
-      // With one kept, either the hedge or what it replaced was for nothing.
-      result_->hedge_cost_ += kept ? attempt->cost_ : 0;
+      // If a call won, either the hedge or the hedged call was superfluous.
+      result_->hedge_cost_ += winner ? attempt->cost_ : 0;
     }
   }
 }
--- a/bench/policy/gateway_model.cc
+++ b/bench/policy/gateway_model.cc
@@ -11,10 +11,10 @@
 namespace citronlane {
 namespace {
 
-constexpr Duration kSameDomain = std::chrono::microseconds(100);
+constexpr Duration kSameDomainLatency = std::chrono::microseconds(100);
 constexpr double kSplitQuantile = 0.95;
-/// Tokens assumed for the cost of a request before it has run.
-constexpr double kUsualTokens = 48;
+/// Assumed number of tokens, for the expected cost of a request.
+constexpr double kExpectedTokens = 48;
 
 RouterOptions OptionsAt(RouterOptions options, int domain) {
   options.failure_domain_ = std::to_string(domain);
@@ -88,7 +88,7 @@
         query.pool_empty_ || pool.router_.usable_servers(queue_->now()) == 0;
     query.expected_cost_ +=
         pool.config_.cost_per_call_ +
-        (stream ? kUsualTokens : 0) * pool.config_.cost_per_token_;
+        (stream ? kExpectedTokens : 0) * pool.config_.cost_per_token_;
     const auto first = pool.router_.ExpectedFirstByte(queue_->now(), shape);
     const auto expected = pool.router_.ExpectedFinish(queue_->now(), shape);
     known = known && expected && first;
@@ -134,7 +134,7 @@
   runs_.insert(run);
   Plan(*run, run->stage_ + 1, 1);
   queue_->After(spec.pipeline_->deadline_, [this, run] {
-    if (!run->over_) {
+    if (!run->finished_) {
       CancelOthers(run, nullptr);
       Finish(run, false, "deadline_exceeded");
     }
@@ -142,7 +142,7 @@
   BeginStage(run);
 }
 
-void GatewayModel::Lose() {
+void GatewayModel::Fail() {
   alive_ = false;
   const std::set<RunPtr> runs = runs_;
   for (const RunPtr& run : runs) {
@@ -172,9 +172,9 @@
   return shape;
 }
 
-Duration GatewayModel::Distance(const ServerModel& server) const {
-  return server.domain() == domain_ ? kSameDomain
-                                    : deployment_.domain_distance_;
+Duration GatewayModel::NetworkLatency(const ServerModel& server) const {
+  return server.domain() == domain_ ? kSameDomainLatency
+                                    : deployment_.domain_latency_;
 }
 
 Duration GatewayModel::TimeLeft(const RequestRun& run) const {
@@ -228,7 +228,7 @@
   BeginStage(run);
 }
 
-bool GatewayModel::TryAgain(const RunPtr& run, CallOutcome outcome) {
+bool GatewayModel::TryRetry(const RunPtr& run, CallOutcome outcome) {
   PoolPolicy& pool = PoolOf(*run);
   RetryQuery query;
   query.outcome_ = outcome;
@@ -246,7 +246,8 @@
   }
   ++result_->retry_calls_;
   queue_->After(decision.backoff_, [this, run, stage = run->stage_] {
-    if (!run->over_ && run->stage_ == stage && alive_ && !Launch(run, false)) {
+    if (!run->finished_ && run->stage_ == stage && alive_ &&
+        !Launch(run, false)) {
       OnFailure(run, CallOutcome::kCancelled);
     }
   });
@@ -254,14 +255,14 @@
 }
 
 void GatewayModel::OnFailure(const RunPtr& run, CallOutcome outcome) {
-  const bool others =
-      std::any_of(run->attempts_.begin(), run->attempts_.end(),
-                  [](const AttemptPtr& attempt) { return !attempt->over_; });
+  const bool others = std::any_of(
+      run->attempts_.begin(), run->attempts_.end(),
+      [](const AttemptPtr& attempt) { return !attempt->finished_; });
   if (others) {
     return;
   }
   const bool stream_lost = run->first_token_ && !options_.continue_streams_;
-  if (stream_lost || !TryAgain(run, outcome)) {
+  if (stream_lost || !TryRetry(run, outcome)) {
     Finish(run, false, stream_lost ? "stream_broken" : "stage_failed");
   }
 }
@@ -269,18 +270,18 @@
 void GatewayModel::Finish(const RunPtr& run,
                           bool answered,
                           const std::string& failure) {
-  if (run->over_) {
+  if (run->finished_) {
     return;
   }
-  run->over_ = true;
+  run->finished_ = true;
   Plan(*run, run->stage_ + 1, -1);
   run->attempts_.clear();
   runs_.erase(run);
-  const ClassConfig& declared = *run->spec_->class_;
+  const ClassConfig& class_config = *run->spec_->class_;
   bool met = answered && TargetLeft(*run) >= Duration::zero();
-  if (met && declared.first_token_target_) {
+  if (met && class_config.first_token_target_) {
     met = run->first_token_ && *run->first_token_ - run->spec_->arrival_ <=
-                                   *declared.first_token_target_;
+                                   *class_config.first_token_target_;
   }
   if (!options_.admits_all_) {
     admission_.OnFinish(queue_->now(), run->query_, run->cost_, met);
--- a/bench/policy/gateway_model.h
+++ b/bench/policy/gateway_model.h
@@ -20,8 +20,9 @@
 
 namespace citronlane {
 
-/// One gateway: drives the project's decisions over modelled servers. Borrows
-/// all it is given. Not thread safe.
+/// Models one gateway: applies the project's routing, hedging, retry and
+/// admission policies to modelled servers. Borrows the pointers and the
+/// deployment that it is given. Not thread safe.
 class GatewayModel {
  public:
   GatewayModel(std::string name,
@@ -33,12 +34,12 @@
                const Backends* backends,
                RunResult* result);
 
-  /// A caller's request; counted when `measured`.
+  /// A request of a caller arrives; it is counted if `measured`.
   void Arrive(const RequestSpec& spec, bool measured);
-  /// The gateway is gone, with every request it had.
-  void Lose();
+  /// The gateway fails, with all its requests.
+  void Fail();
 
-  /// Engine time counts between these.
+  /// Sets the time window in which engine time is counted.
   void SetWindow(TimePoint from, TimePoint to) {
     window_from_ = from;
     window_to_ = to;
@@ -49,7 +50,7 @@
   PoolRouter& router(const std::string& pool) {
     return pools_.at(pool)->router_;
   }
-  /// Calls this gateway has at the server now, for its peers.
+  /// Calls in flight from this gateway to the server, for its peers.
   double InFlightAt(const std::string& server) const;
 
  private:
@@ -60,12 +61,12 @@
   uint32_t PriorityOf(const RequestSpec& spec) const;
   CallShape ShapeOf(const RequestRun& run) const;
   PoolPolicy& PoolOf(const RequestRun& run);
-  Duration Distance(const ServerModel& server) const;
+  Duration NetworkLatency(const ServerModel& server) const;
   Duration TimeLeft(const RequestRun& run) const;
   Duration TargetLeft(const RequestRun& run) const;
   StageTime TimeOfStage(const RequestRun& run);
 
-  /// Tells the pools of the stages from `stage` on what is planned.
+  /// Adds to the planned calls of the pools of all stages from `stage` on.
   void Plan(const RequestRun& run, size_t stage, int calls);
   void BeginStage(const RunPtr& run);
   AttemptPtr Launch(const RunPtr& run, bool hedge);
@@ -74,16 +75,16 @@
   void OnHedgeTimer(const RunPtr& run, const AttemptPtr& attempt);
   void OnShareTimer(const RunPtr& run, const AttemptPtr& attempt);
   void OnFirstByte(const RunPtr& run, const AttemptPtr& attempt);
-  void OnFrozen(const RunPtr& run, const AttemptPtr& attempt);
+  void OnHang(const RunPtr& run, const AttemptPtr& attempt);
   void OnReply(const RunPtr& run,
                const AttemptPtr& attempt,
                CallOutcome outcome);
   void OnStageDone(const RunPtr& run);
   void OnFailure(const RunPtr& run, CallOutcome outcome);
-  bool TryAgain(const RunPtr& run, CallOutcome outcome);
-  /// Accounts for the end of a call; the reply itself is not looked at.
+  bool TryRetry(const RunPtr& run, CallOutcome outcome);
+  /// Accounts for the end of a call, without handling its reply.
   void Close(const RunPtr& run, const AttemptPtr& attempt, CallOutcome outcome);
-  void CancelOthers(const RunPtr& run, const AttemptPtr& kept);
+  void CancelOthers(const RunPtr& run, const AttemptPtr& winner);
   void Finish(const RunPtr& run, bool answered, const std::string& failure);
   template <typename Change>
   void Count(const RequestRun& run, const Change& change);
--- a/bench/policy/policy_options.cc
+++ b/bench/policy/policy_options.cc
@@ -30,12 +30,13 @@
           Baseline("least-in-flight", RouterOptions::Choice::kLeastInFlight)};
 }
 
-std::vector<PolicyOptions> LeverPolicies() {
-  std::vector<PolicyOptions> levers;
-  const auto without = [&levers](const std::string& lever) -> PolicyOptions& {
-    levers.push_back(ProjectPolicy());
-    levers.back().name_ = "no-" + lever;
-    return levers.back();
+std::vector<PolicyOptions> AblationPolicies() {
+  std::vector<PolicyOptions> policies;
+  const auto without =
+      [&policies](const std::string& mechanism) -> PolicyOptions& {
+    policies.push_back(ProjectPolicy());
+    policies.back().name_ = "no-" + mechanism;
+    return policies.back();
   };
   without("admission").admits_all_ = true;
   without("early-refusal").admission_.early_refusal_ = false;
@@ -52,7 +53,7 @@
   without("affinity").router_.prefix_affinity_ = false;
   without("domain-preference").router_.domain_preference_ = false;
   without("ejection").router_.ejection_ = false;
-  return levers;
+  return policies;
 }
 
 }  // namespace citronlane
--- a/bench/policy/policy_options.h
+++ b/bench/policy/policy_options.h
@@ -15,22 +15,22 @@
   RouterOptions router_;
   AdmissionOptions admission_;
   bool admits_all_ = false;
-  /// Gateways tell each other their calls in flight.
+  /// Gateways report their calls in flight to each other.
   bool peer_loads_ = true;
-  /// Engines are told how urgent a call is.
+  /// Calls carry their priority to the engines.
   bool priorities_ = true;
   bool hedge_ = true;
   bool deadline_split_ = true;
-  /// Broken and stalled streams go on at another server.
+  /// Broken and stalled streams are continued on another server.
   bool continue_streams_ = true;
 };
 
-/// The project's policy with everything on.
+/// The project's policy with all mechanisms.
 PolicyOptions ProjectPolicy();
-/// Round robin and least in-flight: no admission, no hedges, no levers.
+/// Round robin and least in-flight, without any other mechanism.
 std::vector<PolicyOptions> BaselinePolicies();
-/// The project's policy with one lever off each.
-std::vector<PolicyOptions> LeverPolicies();
+/// The project's policy with one mechanism disabled, for each mechanism.
+std::vector<PolicyOptions> AblationPolicies();
 
 }  // namespace citronlane
 
--- a/bench/policy/pool_model.h
+++ b/bench/policy/pool_model.h
@@ -8,7 +8,7 @@
 
 namespace citronlane {
 
-/// How the servers of one pool take time, for ServerModel.
+/// Service times of the servers of one pool, for ServerModel.
 struct PoolModel {
   std::string name_;
   StageKind kind_ = StageKind::kService;
@@ -18,12 +18,13 @@
   bool reports_load_ = true;
   /// Mean time of a call; for engines the time to read the prompt.
   Duration call_time_{};
-  /// Engines: time of a token with one call, and its growth with each more.
+  /// Engines: time of a token with one call, and its growth with each further
+  /// call.
   Duration token_time_{};
   double token_time_growth_ = 0;
-  /// Engines: part of the reading time left when the prefix is cached, and
-  /// cached prefixes of a server.
-  double hit_part_ = 1;
+  /// Engines: prefill time with a cached prefix relative to that without, and
+  /// the number of prefixes that a server caches.
+  double cached_prefill_ratio_ = 1;
   int cached_prefixes_ = 0;
   double cost_per_call_ = 0;
   double cost_per_token_ = 0;
--- a/bench/policy/pool_policy.h
+++ b/bench/policy/pool_policy.h
@@ -8,7 +8,7 @@
 
 namespace citronlane {
 
-/// The decisions of one gateway for one pool.
+/// The policies of one gateway for one pool.
 struct PoolPolicy {
   PoolPolicy(const PoolConfig& pool,
              const RouterOptions& options,
--- a/bench/policy/report.cc
+++ b/bench/policy/report.cc
@@ -12,13 +12,13 @@
 void WriteRow(const RunResult& result, std::ostream* out) {
   const auto percent = [](double part) { return part * kPercent; };
   *out << "| " << result.scenario_ << " | " << result.policy_ << " | "
-       << percent(result.interactive_.OfOffered()) << " | "
-       << percent(result.interactive_.OfAdmitted()) << " | "
+       << percent(result.interactive_.MetOfOffered()) << " | "
+       << percent(result.interactive_.MetOfAdmitted()) << " | "
        << percent(result.SmallAccounts()) << " | " << percent(result.Goodput())
        << " | " << std::setprecision(0) << result.Cost() / 1000
        << std::setprecision(1) << " | " << std::setprecision(3)
        << result.RetryAmplification() << std::setprecision(1) << " | "
-       << percent(result.HedgeCostPart()) << " |\n";
+       << percent(result.HedgeCostRatio()) << " |\n";
 }
 
 template <typename Map, typename Write>
@@ -47,13 +47,13 @@
   const auto number = [out](auto value) { *out << value; };
   *out << " {\"name\": \"" << result.deployment_ << "/" << result.scenario_
        << "/" << result.policy_
-       << "\",\n  \"met_of_offered\": " << result.interactive_.OfOffered()
-       << ", \"met_of_admitted\": " << result.interactive_.OfAdmitted()
+       << "\",\n  \"met_of_offered\": " << result.interactive_.MetOfOffered()
+       << ", \"met_of_admitted\": " << result.interactive_.MetOfAdmitted()
        << ", \"small_accounts\": " << result.SmallAccounts()
        << ", \"goodput\": " << result.Goodput()
        << ", \"cost\": " << result.Cost()
        << ", \"retry_amplification\": " << result.RetryAmplification()
-       << ", \"hedge_cost\": " << result.HedgeCostPart()
+       << ", \"hedge_cost\": " << result.HedgeCostRatio()
        << ", \"first_calls\": " << result.first_calls_
        << ", \"hedge_calls\": " << result.hedge_calls_
        << ", \"retry_calls\": " << result.retry_calls_;
--- a/bench/policy/report.h
+++ b/bench/policy/report.h
@@ -8,11 +8,11 @@
 
 namespace citronlane {
 
-/// Writes one table for each deployment: scenario and policy a row.
+/// Writes one table for each deployment, with a row for each run.
 void WriteMarkdown(absl::Span<const RunResult> results, std::ostream* out);
 
-/// Writes everything that was counted as JSON, one entry a run in the shape of
-/// Google Benchmark's: a name and figures.
+/// Writes all counts as JSON, one entry for each run in the format of Google
+/// Benchmark: a name and values.
 void WriteJson(absl::Span<const RunResult> results, std::ostream* out);
 
 }  // namespace citronlane
--- a/bench/policy/request_run.h
+++ b/bench/policy/request_run.h
@@ -20,7 +20,7 @@
   bool measured_ = false;
   AdmissionQuery query_;
   size_t stage_ = 0;
-  /// Rises with each stage, so that late timers can tell.
+  /// Number of calls made for all stages.
   uint32_t calls_ = 0;
   std::vector<std::shared_ptr<Attempt>> attempts_;
   std::vector<std::string> tried_;
@@ -28,7 +28,7 @@
   std::optional<TimePoint> first_token_;
   double cost_ = 0;
   Duration engine_time_{};
-  bool over_ = false;
+  bool finished_ = false;
 };
 
 }  // namespace citronlane
--- a/bench/policy/run_result.cc
+++ b/bench/policy/run_result.cc
@@ -45,7 +45,7 @@
       sum.Add(tally);
     }
   }
-  return sum.OfOffered();
+  return sum.MetOfOffered();
 }
 
 double RunResult::Cost() const {
@@ -66,7 +66,7 @@
   return (first + static_cast<double>(retry_calls_)) / first;
 }
 
-double RunResult::HedgeCostPart() const {
+double RunResult::HedgeCostRatio() const {
   return hedge_cost_ / std::max(1.0, Cost());
 }
 
--- a/bench/policy/run_result.h
+++ b/bench/policy/run_result.h
@@ -10,7 +10,8 @@
 
 namespace citronlane {
 
-/// What one run came to. Requests of the measured time only, but for the calls.
+/// Counts of one run. Requests are counted if they arrive in the measured time,
+/// calls always.
 struct RunResult {
   std::string deployment_;
   std::string scenario_;
@@ -37,12 +38,12 @@
   /// Adds the counts of another run of the same scenario and policy.
   void Add(const RunResult& other);
 
-  /// Share of the small accounts' requests that met their target, of offered.
+  /// Fraction of the small accounts' offered requests that met their target.
   double SmallAccounts() const;
   double Cost() const;
   double Goodput() const;
   double RetryAmplification() const;
-  double HedgeCostPart() const;
+  double HedgeCostRatio() const;
 };
 
 }  // namespace citronlane
--- a/bench/policy/scenario.cc
+++ b/bench/policy/scenario.cc
@@ -8,18 +8,18 @@
 using std::chrono::seconds;
 
 constexpr double kSlowFactor = 10;
-constexpr double kBurst = 5;
-constexpr double kOverload = 3;
-constexpr double kFlood = 8;
-/// Load before a burst of five times, as in a quiet hour.
+constexpr double kBurstFactor = 5;
+constexpr double kOverloadLoad = 3;
+constexpr double kFloodFactor = 8;
+/// Load outside a burst, as at off-peak times.
 constexpr double kQuietLoad = 0.4;
 constexpr double kBusyLoad = 0.9;
-/// Slow-down of a whole pool.
-constexpr double kBrownout = 3;
+/// Slow factor of an entire pool.
+constexpr double kBrownoutFactor = 3;
 constexpr Duration kFaultFrom = seconds(10);
 constexpr Duration kFaultTo = seconds(20);
 
-Scenario Named(const std::string& name, std::vector<Fault> faults = {}) {
+Scenario MakeScenario(const std::string& name, std::vector<Fault> faults = {}) {
   Scenario scenario;
   scenario.name_ = name;
   scenario.faults_ = std::move(faults);
@@ -35,7 +35,7 @@
 }
 
 Scenario Burst(const std::string& name, double load, double burst_load) {
-  Scenario scenario = Named(name);
+  Scenario scenario = MakeScenario(name);
   scenario.load_ = load;
   scenario.burst_load_ = burst_load;
   scenario.measure_to_ = scenario.burst_to_;
@@ -43,7 +43,7 @@
 }
 
 Scenario Account(const std::string& name, double factor) {
-  Scenario scenario = Named(name);
+  Scenario scenario = MakeScenario(name);
   scenario.account_ = "large-1";
   scenario.account_factor_ = factor;
   return scenario;
@@ -58,42 +58,46 @@
   const Fault slow = FaultOf(Fault::Kind::kSlow, engines, 0, 1, kSlowFactor);
   const Fault domain = FaultOf(Fault::Kind::kDomainLoss, "", 1, 1);
   std::vector<Scenario> scenarios = {
-      Named("steady"),
-      Burst("burst", kQuietLoad, kQuietLoad * kBurst),
-      Burst("overload", 0.7, kOverload),
-      Named("straggler", {slow}),
-      Named("stage-straggler",
-            {FaultOf(Fault::Kind::kSlow, reranker, 0, 1, kSlowFactor)}),
-      Named("stopped", {FaultOf(Fault::Kind::kStop, engines, 0, 1)}),
-      Named("stage-stopped", {FaultOf(Fault::Kind::kStop, reranker, 0, 1)}),
-      Account("flood", kFlood),
+      MakeScenario("steady"),
+      Burst("burst", kQuietLoad, kQuietLoad * kBurstFactor),
+      Burst("overload", 0.7, kOverloadLoad),
+      MakeScenario("straggler", {slow}),
+      MakeScenario("stage-straggler",
+                   {FaultOf(Fault::Kind::kSlow, reranker, 0, 1, kSlowFactor)}),
+      MakeScenario("stopped", {FaultOf(Fault::Kind::kStop, engines, 0, 1)}),
+      MakeScenario("stage-stopped",
+                   {FaultOf(Fault::Kind::kStop, reranker, 0, 1)}),
+      Account("flood", kFloodFactor),
       Account("without-large", 0),
-      Named("domain-loss", {domain}),
-      Named("pool-down", {FaultOf(Fault::Kind::kDown, reranker, 0, rerankers)}),
-      Named("half-pool-down",
-            {FaultOf(Fault::Kind::kDown, reranker, 0, rerankers / 2)}),
-      Named("brownout", {FaultOf(Fault::Kind::kSlow, engines, 0,
-                                 deployment.pools_[0].servers_, kBrownout)}),
-      Named("errors",
-            {FaultOf(Fault::Kind::kErrors, reranker, 0, 1),
-             FaultOf(Fault::Kind::kErrors, deployment.pools_[4].name_, 0, 1)}),
-      Named("rolling-restart",
-            {FaultOf(Fault::Kind::kRollingRestart, engines, 0, 3)}),
+      MakeScenario("domain-loss", {domain}),
+      MakeScenario("pool-down",
+                   {FaultOf(Fault::Kind::kDown, reranker, 0, rerankers)}),
+      MakeScenario("half-pool-down",
+                   {FaultOf(Fault::Kind::kDown, reranker, 0, rerankers / 2)}),
+      MakeScenario("brownout",
+                   {FaultOf(Fault::Kind::kSlow, engines, 0,
+                            deployment.pools_[0].servers_, kBrownoutFactor)}),
+      MakeScenario("errors", {FaultOf(Fault::Kind::kErrors, reranker, 0, 1),
+                              FaultOf(Fault::Kind::kErrors,
+                                      deployment.pools_[4].name_, 0, 1)}),
+      MakeScenario("rolling-restart",
+                   {FaultOf(Fault::Kind::kRollingRestart, engines, 0, 3)}),
   };
-  Scenario all = Burst("all-at-once", kQuietLoad, kQuietLoad * kBurst);
+  Scenario all = Burst("all-at-once", kQuietLoad, kQuietLoad * kBurstFactor);
   all.faults_ = {slow, domain, FaultOf(Fault::Kind::kStop, engines, 2, 1)};
   scenarios.push_back(all);
-  Scenario cold = Burst("cold-start", kQuietLoad * kBurst, kQuietLoad * kBurst);
+  Scenario cold =
+      Burst("cold-start", kQuietLoad * kBurstFactor, kQuietLoad * kBurstFactor);
   cold.measure_from_ = Duration::zero();
   cold.measure_to_ = kFaultFrom;
   scenarios.push_back(cold);
-  Scenario restart = Named(
+  Scenario restart = MakeScenario(
       "busy-restart", {FaultOf(Fault::Kind::kRollingRestart, engines, 0, 3)});
   restart.load_ = kBusyLoad;
   restart.burst_load_ = kBusyLoad;
   scenarios.push_back(restart);
   Scenario burst =
-      Burst("straggler-and-burst", kQuietLoad, kQuietLoad * kBurst);
+      Burst("straggler-and-burst", kQuietLoad, kQuietLoad * kBurstFactor);
   burst.faults_ = {slow};
   scenarios.push_back(burst);
   return scenarios;
--- a/bench/policy/server_model.cc
+++ b/bench/policy/server_model.cc
@@ -6,7 +6,7 @@
 namespace citronlane {
 namespace {
 
-/// A restarted server is this much slower until it is warm.
+/// Slow factor of a restarted server during its warm-up.
 constexpr double kColdFactor = 3;
 constexpr Duration kWarmUp = std::chrono::seconds(4);
 
@@ -44,7 +44,7 @@
 }
 
 void ServerModel::Cancel(const CallPtr& call) {
-  if (call->state_ == BackendCall::State::kOver) {
+  if (call->state_ == BackendCall::State::kFinished) {
     return;
   }
   auto drop = [&call](auto* calls) {
@@ -54,7 +54,7 @@
   for (auto& waiting : queues_) {
     drop(&waiting);
   }
-  call->state_ = BackendCall::State::kOver;
+  call->state_ = BackendCall::State::kFinished;
   StartNext();
 }
 
@@ -95,9 +95,10 @@
   return false;
 }
 
-Duration ServerModel::ReadingTime(const BackendCall& call) {
+Duration ServerModel::PrefillTime(const BackendCall& call) {
   const bool hit = LookUpPrefix(call.prefix_);
-  return Scaled(pool_.call_time_, call.work_ * (hit ? pool_.hit_part_ : 1));
+  return Scaled(pool_.call_time_,
+                call.work_ * (hit ? pool_.cached_prefill_ratio_ : 1));
 }
 
 void ServerModel::Start(const CallPtr& call) {
@@ -108,15 +109,15 @@
       Scaled(pool_.token_time_,
              slow_ * cold * (1 + pool_.token_time_growth_ * others));
   call->state_ = BackendCall::State::kRunning;
-  call->began_ = queue_->now();
-  call->reading_ = Scaled(ReadingTime(*call), slow_ * cold);
-  call->duration_ = call->reading_ + token * call->tokens_;
+  call->started_ = queue_->now();
+  call->prefill_time_ = Scaled(PrefillTime(*call), slow_ * cold);
+  call->duration_ = call->prefill_time_ + token * call->tokens_;
   const auto running = [this, call, life = incarnation_] {
     return call->state_ == BackendCall::State::kRunning && !stopped_ &&
            life == incarnation_;
   };
   if (call->tokens_ > 0) {
-    queue_->After(call->reading_, [call, running] {
+    queue_->After(call->prefill_time_, [call, running] {
       if (running()) {
         call->on_first_byte_();
       }
@@ -132,7 +133,7 @@
 }
 
 void ServerModel::End(const CallPtr& call, CallOutcome outcome) {
-  call->state_ = BackendCall::State::kOver;
+  call->state_ = BackendCall::State::kFinished;
   call->on_done_(outcome);
 }
 
@@ -144,7 +145,7 @@
 void ServerModel::Stop() {
   stopped_ = true;
   for (const CallPtr& call : running_) {
-    call->on_frozen_();
+    call->on_hang_();
   }
 }
 
@@ -159,8 +160,8 @@
   }
   for (const CallPtr& call : calls) {
     if (silent) {
-      call->on_frozen_();
-      call->state_ = BackendCall::State::kOver;
+      call->on_hang_();
+      call->state_ = BackendCall::State::kFinished;
     } else {
       End(call, CallOutcome::kClosedAfterSend);
     }
--- a/bench/policy/server_model.h
+++ b/bench/policy/server_model.h
@@ -19,13 +19,14 @@
 
 namespace citronlane {
 
-/// Service times of one backend server: slots, a queue by
-/// priority, batches that slow each other down, a prefix cache, and
-/// faults. Not thread safe.
+/// Models the service times of one backend server: slots, a queue by priority,
+/// batches that slow each other down, a prefix cache, and faults. Not thread
+/// safe.
 class ServerModel {
  public:
   using CallPtr = std::shared_ptr<BackendCall>;
-  /// A cache event, as it happens: sequence, prefix, stored or dropped.
+  /// Called for each cache event with its sequence number, the prefix, and
+  /// whether it was stored or evicted.
   using CacheHook = std::function<void(uint64_t, uint64_t, bool)>;
 
   ServerModel(const PoolModel& pool,
@@ -34,19 +35,19 @@
               EventQueue* queue,
               CacheHook on_cache);
 
-  /// A call arrives; it is refused at once when the server is down or drains.
+  /// A call arrives. It is refused at once if the server is down or draining.
   void Submit(const CallPtr& call);
   void Cancel(const CallPtr& call);
 
   void SetSlow(double factor) { slow_ = factor; }
   /// Every new call ends at once with an error.
   void SetErrors(bool errors) { errors_ = errors; }
-  /// Stops mid-work: keeps accepting and never answers.
+  /// The server hangs: it keeps accepting calls and never replies.
   void Stop();
-  /// The process ends; connections are refused or, when `silent`, time out.
+  /// The process ends. Connections are refused or, if `silent`, time out.
   void Crash(bool silent);
   void Drain() { draining_ = true; }
-  /// A new process with a cold cache, slow for a while.
+  /// Starts a new incarnation with a cold cache, which is slow for a while.
   void Restart();
 
   const std::string& id() const { return id_; }
@@ -58,7 +59,7 @@
   bool idle() const { return running_.empty() && waiting() == 0; }
   size_t load() const { return running_.size() + waiting(); }
 
-  /// Makes the present load the one that replies report.
+  /// Replies report the current load from now on.
   void PublishLoad();
   size_t published_load() const { return published_load_; }
   TimePoint published_at() const { return published_at_; }
@@ -68,7 +69,7 @@
   void StartNext();
   void Start(const CallPtr& call);
   void End(const CallPtr& call, CallOutcome outcome);
-  Duration ReadingTime(const BackendCall& call);
+  Duration PrefillTime(const BackendCall& call);
   bool LookUpPrefix(uint64_t prefix);
 
   const PoolModel pool_;
--- a/bench/policy/short_form.cc
+++ b/bench/policy/short_form.cc
@@ -11,10 +11,10 @@
 namespace citronlane {
 namespace {
 
-constexpr double kAny = 1e9;
+constexpr double kUnbounded = 1e9;
 constexpr uint64_t kSeeds = 3;
-constexpr double kMostAmplification = 1.1;
-constexpr double kMostHedgeCost = 0.05;
+constexpr double kMaxAmplification = 1.1;
+constexpr double kMaxHedgeCost = 0.05;
 
 class ShortForm {
  public:
@@ -32,27 +32,28 @@
     const RunResult flood = RunOne("flood", ProjectPolicy());
     const RunResult alone = RunOne("without-large", ProjectPolicy());
     const RunResult down = RunOne("pool-down", ProjectPolicy());
-    const double admitted = slow.interactive_.OfAdmitted();
-    const double baseline = slow_baseline.interactive_.OfAdmitted();
-    return {
-        {"steady met of offered", steady.interactive_.OfOffered(), 0.97, kAny},
-        {"straggler-and-burst met of admitted", admitted, 0.9, kAny},
-        {"straggler-and-burst met of admitted to round robin",
-         admitted / baseline, 2, kAny},
-        {"straggler-and-burst met of offered to round robin",
-         slow.interactive_.OfOffered() / slow_baseline.interactive_.OfOffered(),
-         1.5, kAny},
-        {"overload goodput to round robin",
-         overload.Goodput() / overload_baseline.Goodput(), 2, kAny},
-        {"flood small accounts to without the large one",
-         flood.SmallAccounts() / alone.SmallAccounts(), 0.95, kAny},
-        {"pool-down retry amplification", down.RetryAmplification(), 0,
-         kMostAmplification},
-        {"highest hedge cost",
-         std::max({steady.HedgeCostPart(), slow.HedgeCostPart(),
-                   overload.HedgeCostPart(), flood.HedgeCostPart(),
-                   down.HedgeCostPart()}),
-         0, kMostHedgeCost}};
+    const double admitted = slow.interactive_.MetOfAdmitted();
+    const double baseline = slow_baseline.interactive_.MetOfAdmitted();
+    return {{"steady met of offered", steady.interactive_.MetOfOffered(), 0.97,
+             kUnbounded},
+            {"straggler-and-burst met of admitted", admitted, 0.9, kUnbounded},
+            {"straggler-and-burst met of admitted to round robin",
+             admitted / baseline, 2, kUnbounded},
+            {"straggler-and-burst met of offered to round robin",
+             slow.interactive_.MetOfOffered() /
+                 slow_baseline.interactive_.MetOfOffered(),
+             1.5, kUnbounded},
+            {"overload goodput to round robin",
+             overload.Goodput() / overload_baseline.Goodput(), 2, kUnbounded},
+            {"flood small accounts to without the large one",
+             flood.SmallAccounts() / alone.SmallAccounts(), 0.95, kUnbounded},
+            {"pool-down retry amplification", down.RetryAmplification(), 0,
+             kMaxAmplification},
+            {"highest hedge cost",
+             std::max({steady.HedgeCostRatio(), slow.HedgeCostRatio(),
+                       overload.HedgeCostRatio(), flood.HedgeCostRatio(),
+                       down.HedgeCostRatio()}),
+             0, kMaxHedgeCost}};
   }
 
  private:
--- a/bench/policy/short_form.h
+++ b/bench/policy/short_form.h
@@ -8,9 +8,9 @@
 
 namespace citronlane {
 
-/// Runs a few scenarios of one deployment in a few seconds and returns counts
-/// and ratios to the baseline of the same run. The same seed gives the same
-/// values on every machine.
+/// Runs a few scenarios of one deployment, which takes a few seconds. Returns
+/// counts, and ratios to the baseline of the same run. The same seed gives the
+/// same values on every machine.
 std::vector<Bound> RunShortForm(uint64_t seed);
 
 }  // namespace citronlane
--- a/bench/policy/simulation.cc
+++ b/bench/policy/simulation.cc
@@ -14,12 +14,12 @@
 constexpr Duration kCacheEventLag = milliseconds(500);
 /// One cache event in this many is lost.
 constexpr uint64_t kCacheEventLoss = 50;
-/// What the platform's list lags behind.
-constexpr Duration kListLag = seconds(2);
+/// Delay of the platform's server list.
+constexpr Duration kServerListLag = seconds(2);
 constexpr Duration kDownTime = seconds(1);
 constexpr Duration kDrainCheck = milliseconds(100);
 constexpr Duration kRestartInterval = seconds(4);
-/// Time the balancer takes to notice a lost gateway.
+/// Time after which the load balancer notices that a gateway failed.
 constexpr Duration kBalancerLag = milliseconds(500);
 
 }  // namespace
@@ -146,7 +146,7 @@
 
 void Simulation::Restart(ServerModel* server, const std::string& pool) {
   server->Restart();
-  queue_.After(kListLag, [this, server, pool] {
+  queue_.After(kServerListLag, [this, server, pool] {
     OnAllRouters(pool, [&](PoolRouter* router) {
       router->OnAlive(server->id(), server->incarnation(), queue_.now());
     });
@@ -158,8 +158,9 @@
   for (ServerModel* server : Targets(fault)) {
     queue_.At(TimePoint(begin), [this, server, pool = fault.pool_] {
       const uint64_t leaving = server->incarnation();
-      // The platform's mark comes first; the list and the drain follow.
-      queue_.After(kListLag, [this, server, pool, leaving] {
+      // The platform first marks the server as draining; the list and the drain
+      // itself follow.
+      queue_.After(kServerListLag, [this, server, pool, leaving] {
         OnAllRouters(pool, [&](PoolRouter* router) {
           router->OnLeaving(server->id(), leaving, queue_.now());
         });
@@ -181,7 +182,7 @@
   }
 }
 
-void Simulation::LoseDomain(const Fault& fault) {
+void Simulation::FailDomain(const Fault& fault) {
   queue_.At(TimePoint(fault.begin_), [this, fault] {
     for (const auto& [id, server] : backends_) {
       if (server->domain() == fault.first_) {
@@ -189,11 +190,11 @@
       }
     }
   });
-  // Its gateways are gone as well; callers find the others after the lag.
+  // Its gateways fail as well; callers reach the others after the lag.
   for (size_t i = 0; i < gateways_.size(); ++i) {
     if (static_cast<int>(i) % deployment_.domains_ == fault.first_) {
       queue_.At(TimePoint(fault.begin_ + kBalancerLag),
-                [this, i] { gateways_[i]->Lose(); });
+                [this, i] { gateways_[i]->Fail(); });
     }
   }
   queue_.At(TimePoint(fault.end_), [this, fault] {
@@ -207,7 +208,7 @@
 
 void Simulation::ScheduleFault(const Fault& fault) {
   if (fault.kind_ == Fault::Kind::kDomainLoss) {
-    LoseDomain(fault);
+    FailDomain(fault);
     return;
   }
   if (fault.kind_ == Fault::Kind::kRollingRestart) {
--- a/bench/policy/simulation.h
+++ b/bench/policy/simulation.h
@@ -17,8 +17,9 @@
 
 namespace citronlane {
 
-/// One run of a scenario under a policy: gateways, servers, faults, and what
-/// gateways tell each other. Use once. Not thread safe.
+/// Simulates one run of a scenario under a policy: gateways, servers, faults,
+/// and the load reports between gateways. Run may be called once. Not thread
+/// safe.
 class Simulation {
  public:
   Simulation(const Deployment& deployment,
@@ -35,7 +36,7 @@
   void ScheduleFault(const Fault& fault);
   void RestartOneByOne(const Fault& fault);
   void Restart(ServerModel* server, const std::string& pool);
-  void LoseDomain(const Fault& fault);
+  void FailDomain(const Fault& fault);
   std::vector<ServerModel*> Targets(const Fault& fault);
   void PublishLoads();
   void ExchangeLoads();
--- a/bench/policy/tally.h
+++ b/bench/policy/tally.h
@@ -5,12 +5,12 @@
 
 namespace citronlane {
 
-/// Requests of one kind by how they went.
+/// Counts of requests of one kind by outcome.
 struct Tally {
   uint64_t offered_ = 0;
   uint64_t admitted_ = 0;
   uint64_t met_ = 0;
-  /// Admitted and never answered in full.
+  /// Admitted, but without a full response.
   uint64_t failed_ = 0;
 
   void Add(const Tally& other) {
@@ -20,15 +20,15 @@
     failed_ += other.failed_;
   }
 
-  /// Share that met the target, of all offered: a refusal is a miss.
-  double OfOffered() const { return Share(met_, offered_); }
-  /// The same of the admitted ones alone.
-  double OfAdmitted() const { return Share(met_, admitted_); }
+  /// Fraction of the offered requests that met the target; a refusal is a miss.
+  double MetOfOffered() const { return Ratio(met_, offered_); }
+  /// Fraction of the admitted requests that met the target.
+  double MetOfAdmitted() const { return Ratio(met_, admitted_); }
 
  private:
-  static double Share(uint64_t part, uint64_t whole) {
-    return whole == 0 ? 1
-                      : static_cast<double>(part) / static_cast<double>(whole);
+  static double Ratio(uint64_t count, uint64_t total) {
+    return total == 0 ? 1
+                      : static_cast<double>(count) / static_cast<double>(total);
   }
 };
 
--- a/bench/policy/traffic.cc
+++ b/bench/policy/traffic.cc
@@ -7,32 +7,34 @@
 namespace citronlane {
 namespace {
 
-constexpr double kMeanTokensOverFewest = 41;
-constexpr uint32_t kFewestTokens = 8;
-constexpr uint32_t kMostTokens = 128;
+constexpr double kMeanTokensAboveMin = 41;
+constexpr uint32_t kMinTokens = 8;
+constexpr uint32_t kMaxTokens = 128;
 /// Prompts share this many prefixes, the first ones the most.
 constexpr int kPrefixes = 240;
 constexpr double kPrefixSkew = 2;
 constexpr double kWorkSpread = 0.35;
 
-class Drawer {
+class TrafficGenerator {
  public:
-  Drawer(const Deployment& deployment, const Scenario& scenario, uint64_t seed)
+  TrafficGenerator(const Deployment& deployment,
+                   const Scenario& scenario,
+                   uint64_t seed)
       : deployment_(deployment), scenario_(scenario), random_(seed) {}
 
   bool InBurst(Duration at) const {
     return at >= scenario_.burst_from_ && at < scenario_.burst_to_;
   }
 
-  /// Requests a second, accounts' own growth left out.
+  /// Requests per second, without the growth of a single account.
   double Rate(Duration at) const {
     const double load = InBurst(at) ? scenario_.burst_load_ : scenario_.load_;
     return load * deployment_.capacity_;
   }
 
-  /// Growth of the total by the account that grows.
+  /// Factor on the total rate by the account that grows.
   double Growth(Duration at) const {
-    return 1 + AccountPart() * (AccountFactor(at) - 1);
+    return 1 + AccountFraction() * (AccountFactor(at) - 1);
   }
 
   Duration NextGap(Duration at) {
@@ -50,10 +52,10 @@
     spec.pipeline_ = &deployment_.config_.pipelines_.at(
         deployment_.pipeline_of_.at(class_name));
     spec.prefix_ = DrawPrefix();
-    std::exponential_distribution<double> tokens(1 / kMeanTokensOverFewest);
+    std::exponential_distribution<double> tokens(1 / kMeanTokensAboveMin);
     spec.tokens_ = std::min(
-        kMostTokens, kFewestTokens + static_cast<uint32_t>(tokens(random_)));
-    spec.max_tokens_ = kMostTokens;
+        kMaxTokens, kMinTokens + static_cast<uint32_t>(tokens(random_)));
+    spec.max_tokens_ = kMaxTokens;
     std::lognormal_distribution<double> work(-kWorkSpread * kWorkSpread / 2,
                                              kWorkSpread);
     for (size_t i = 0; i < spec.pipeline_->stages_.size(); ++i) {
@@ -63,17 +65,17 @@
   }
 
  private:
-  double AccountPart() const {
+  double AccountFraction() const {
     for (const Deployment::Share& account : deployment_.accounts_) {
       if (account.name_ == scenario_.account_) {
-        return account.part_;
+        return account.fraction_;
       }
     }
     return 0;
   }
 
   double AccountFactor(Duration at) const {
-    // An account left out is left out from the start.
+    // An excluded account sends nothing from the start.
     const bool applies = InBurst(at) || scenario_.account_factor_ == 0;
     return applies ? scenario_.account_factor_ : 1;
   }
@@ -81,7 +83,7 @@
   std::string DrawShare(const std::vector<Deployment::Share>& shares) {
     double draw = std::uniform_real_distribution<double>(0, 1)(random_);
     for (const Deployment::Share& share : shares) {
-      draw -= share.part_;
+      draw -= share.fraction_;
       if (draw < 0) {
         return share.name_;
       }
@@ -94,7 +96,7 @@
     for (Deployment::Share& share : shares) {
       const double factor =
           share.name_ == scenario_.account_ ? AccountFactor(at) : 1;
-      share.part_ *= factor / Growth(at);
+      share.fraction_ *= factor / Growth(at);
     }
     return DrawShare(shares);
   }
@@ -116,7 +118,7 @@
 std::vector<RequestSpec> MakeTraffic(const Deployment& deployment,
                                      const Scenario& scenario,
                                      uint64_t seed) {
-  Drawer drawer(deployment, scenario, seed);
+  TrafficGenerator drawer(deployment, scenario, seed);
   std::vector<RequestSpec> traffic;
   Duration at = drawer.NextGap(Duration::zero());
   while (at < scenario.length_) {
--- a/bench/policy/traffic.h
+++ b/bench/policy/traffic.h
@@ -10,8 +10,9 @@
 
 namespace citronlane {
 
-/// Draws the requests of a scenario, in the order they arrive. The result
-/// refers to the deployment. The same seed gives the same traffic.
+/// Generates the requests of a scenario at random, in the order of arrival. The
+/// result refers to the deployment, which must outlive it. The same seed gives
+/// the same traffic.
 std::vector<RequestSpec> MakeTraffic(const Deployment& deployment,
                                      const Scenario& scenario,
                                      uint64_t seed);
