--- a/include/citronlane/request/request.h
+++ b/include/citronlane/request/request.h
@@ -128,7 +128,7 @@
   void CompleteStage(Attempt* attempt, StageOutput output, TimePoint now);
   void Merge(StageOutput output);
   void FinishFailed(RefusalReason reason);
-  void Finish(bool whole, RefusalReason reason);
+  void Finish(bool complete, RefusalReason reason);
 
   const RequestPlan plan_;
   const RequestHooks hooks_;
--- a/include/citronlane/routing/engine_router.h
+++ b/include/citronlane/routing/engine_router.h
@@ -60,7 +60,7 @@
   std::string HomeDomain(TimePoint now, const Call& call);
 
   /// Records that the server will hold the call's shared segment, because a
-  /// request with it is going there. Unknown servers are ignored, here and
+  /// request with it will be sent there. Unknown servers are ignored, here and
   /// below.
   void Expect(std::string_view server, TimePoint now, const Call& call);
   /// A request starts at the server. Every OnStart is followed by one OnFinish;
--- a/include/citronlane/stages/stage_batcher.h
+++ b/include/citronlane/stages/stage_batcher.h
@@ -28,10 +28,10 @@
 /// gateways. A call takes long however few pieces it carries, so pieces wait
 /// while all servers are busy and share a call as soon as one is free. They
 /// wait beside an idle server only if it is out of capacity for their results,
-/// or in another failure domain than their inputs. It sends nothing: the owner
-/// of the pool makes the calls that Next returns, reports how they ended, and
-/// fetches further actions by the Take methods. Time is passed in. Not thread
-/// safe.
+/// or if one in their task's failure domain is free soon enough. It sends
+/// nothing: the owner of the pool makes the calls that Next returns, reports
+/// how they ended, and fetches further actions by the Take methods. Time is
+/// passed in. Not thread safe.
 class StageBatcher {
  public:
   /// Returns whether a request's pieces may be sent to a server again, and
@@ -225,7 +225,7 @@
                                                       TimePoint now) const;
   bool WaitsForNearServer(const Task& task, const DomainLoad& load) const;
   bool ExceedsAnyCall(const Task& task) const;
-  bool FitsCall(const Task& task, size_t places, uint64_t room) const;
+  bool FitsCall(const Task& task, size_t places, uint64_t capacity) const;
   Duration ExpectedCallTime(const Server& server, size_t pieces) const;
   StagePiece MakePiece(const Task& task, uint32_t piece, TimePoint now) const;
   Server* ReleaseCall(uint64_t number, const Call& call, TimePoint now);
--- a/src/request/request.cc
+++ b/src/request/request.cc
@@ -351,7 +351,7 @@
   Finish(false, broken_stream ? RefusalReason::kStreamBroken : reason);
 }
 
-void Request::Finish(bool whole, RefusalReason reason) {
+void Request::Finish(bool complete, RefusalReason reason) {
   if (finished_) {
     return;
   }
@@ -361,7 +361,7 @@
       CancelAttempt(&attempt);
     }
   }
-  commands_.emplace_back(FinishRequest{whole, reason, verdict(), stage_});
+  commands_.emplace_back(FinishRequest{complete, reason, verdict(), stage_});
 }
 
 }  // namespace citronlane
--- a/src/routing/engine_router.cc
+++ b/src/routing/engine_router.cc
@@ -17,8 +17,8 @@
 /// already read, and delays the events of the requests that run beside it.
 constexpr double kLongPromptTokens = 8000;
 /// Cost of the prefill of a token that another engine has cached, in tokens of
-/// waiting: weighs the extra work, which delays other requests, against the
-/// delay of this one.
+/// waiting: weighs what the extra work costs users against the delay of this
+/// request.
 constexpr double kDuplicatePrefillWeight = 4;
 /// Engines keep a segment at least this long after its last use.
 constexpr Duration kMinSegmentRetention = std::chrono::seconds(15);
--- a/src/routing/server_state.cc
+++ b/src/routing/server_state.cc
@@ -24,8 +24,9 @@
 constexpr double kSuspectFailureRatio = 0.3;
 constexpr double kSuspectSlowFactor = 2;
 
-double Ratio(Duration part, Duration whole) {
-  return static_cast<double>(part.count()) / static_cast<double>(whole.count());
+double Ratio(Duration dividend, Duration divisor) {
+  return static_cast<double>(dividend.count()) /
+         static_cast<double>(divisor.count());
 }
 
 double DecayFactor(Duration age, Duration half_life) {
--- a/src/stages/stage_batcher.cc
+++ b/src/stages/stage_batcher.cc
@@ -109,10 +109,10 @@
 }
 
 uint64_t StageBatcher::FreeCapacity(const Server& server) const {
-  const auto room = static_cast<uint64_t>(
+  const auto capacity = static_cast<uint64_t>(
       static_cast<double>(spec_.room_bytes_) * kUsableCapacityRatio);
   const uint64_t used = server.held_bytes_ + server.reserved_bytes_;
-  return used >= room ? 0 : room - used;
+  return used >= capacity ? 0 : capacity - used;
 }
 
 // Uses the average time too: a full call can take twice as long as one with a
@@ -184,10 +184,10 @@
 // until the others are done. A task too large for any call or server is split.
 bool StageBatcher::FitsCall(const Task& task,
                             size_t places,
-                            uint64_t room) const {
+                            uint64_t capacity) const {
   return ExceedsAnyCall(task) ||
          (task.waiting_ <= places &&
-          task.waiting_ * task.task_.result_bytes_ <= room);
+          task.waiting_ * task.task_.result_bytes_ <= capacity);
 }
 
 uint64_t StageBatcher::Announce(const StageForecast& forecast) {
--- a/src/stages/stage_batcher_calls.cc
+++ b/src/stages/stage_batcher_calls.cc
@@ -135,17 +135,17 @@
     const Server& server,
     uint64_t min_capacity,
     TimePoint now) {
-  uint64_t room = FreeCapacity(server);
+  uint64_t capacity = FreeCapacity(server);
   std::vector<ChosenPiece> chosen;
   for (const auto& [number, task] : TasksInOrder(server, min_capacity, now)) {
     const uint64_t bytes = task->task_.result_bytes_;
-    if (!FitsCall(*task, spec_.batch_ - chosen.size(), room)) {
+    if (!FitsCall(*task, spec_.batch_ - chosen.size(), capacity)) {
       continue;
     }
     for (uint32_t i = 0; i < task->pieces_.size(); ++i) {
       if (task->pieces_[i].is_waiting_ && chosen.size() < spec_.batch_ &&
-          bytes <= room) {
-        room -= bytes;
+          bytes <= capacity) {
+        capacity -= bytes;
         chosen.push_back({number, i, task});
       }
     }
