--- a/src/stages/stage_batcher.cc
+++ b/src/stages/stage_batcher.cc
@@ -21,7 +21,8 @@
 /// Bound of a task's size relative to the average, so that large tasks are not
 /// deferred without limit.
 constexpr double kMaxRelativeSize = 3;
-/// Weight of the newest task in the average size.
+/// Weight of the newest task in the average size, which then covers some
+/// hundred tasks.
 constexpr double kTaskSizeWeight = 0.01;
 /// Tasks do not wait for a server that is overdue by more than this.
 constexpr Duration kMaxOverdue = std::chrono::milliseconds(100);
--- a/src/stages/stage_batcher_results.cc
+++ b/src/stages/stage_batcher_results.cc
@@ -14,7 +14,8 @@
 constexpr uint32_t kMaxAttempts = 4;
 /// Weight of the newest call in a server's slow factor.
 constexpr double kServerSampleWeight = 0.3;
-/// Weight of the newest call in the pool's average time.
+/// Weight of the newest call in the pool's average time, which then covers a
+/// second or two of calls.
 constexpr double kPoolSampleWeight = 0.05;
 /// Pieces of a task that fail within this time count as one repeat.
 constexpr Duration kRepeatWindow = std::chrono::milliseconds(50);
