--- a/include/citronlane/fleet/config_follower.h
+++ b/include/citronlane/fleet/config_follower.h
@@ -15,19 +15,22 @@
 class ConfigUpdate;
 }
 
-/// A gateway's copy of the configuration, built from whole documents and
-/// patches. Every version is checked against its digest. Pure. Not thread safe.
+/// A node's copy of the configuration, built from full documents and merge
+/// patches. The result of each update is checked against the digest that the
+/// update carries. Pure: no I/O, no clock. Not thread safe.
 class ConfigFollower {
  public:
   ConfigFollower();
 
-  /// Takes an update. Returns the configuration when its version is a new one.
-  /// Nothing and an empty reason when there is nothing new; nothing and a
-  /// reason when the update does not fit: then ask for the whole document.
+  /// Applies an update and returns the new configuration. Returns null with an
+  /// empty message in `error` when the update carries no version above the
+  /// present one, and null with a reason when the update cannot be applied: the
+  /// caller then requests the full document. In both cases the present
+  /// configuration stays.
   std::shared_ptr<const ClusterConfig> Apply(const wire::ConfigUpdate& update,
                                              Error* error);
 
-  /// Version held; 0 for none.
+  /// Version of the present configuration; 0 while there is none.
   uint64_t version() const { return version_; }
 
  private:
--- a/include/citronlane/fleet/config_lease.h
+++ b/include/citronlane/fleet/config_lease.h
@@ -10,31 +10,35 @@
 
 namespace citronlane {
 
-/// A gateway's lease on its configuration. It is renewed by a majority of the
-/// voters that answered from one and the same membership and know no newer
-/// version than the gateway's, counted from when they were asked. Once a newer
-/// version is committed, no question asked later can renew the lease on the
-/// older one; docs/design/configuration.md gives the proof. Pure. Not thread
-/// safe.
+/// A gateway's lease on its configuration. A majority of voters renews it whose
+/// replies name the same membership and no configuration version above the
+/// gateway's; the new term is counted from when their requests were sent. Once
+/// a newer version is committed, no request sent later can renew the lease on
+/// the older one; docs/design/configuration.md has the proof. Pure: no I/O, no
+/// clock. Not thread safe.
 class ConfigLease {
  public:
-  /// `length` is the lease's length on a true clock; the gateway's own is
-  /// trusted to run at most kClockRateError slow.
+  /// `length` is the length of the lease on a true clock. The lease held here
+  /// is shorter by kClockRateError, the largest rate by which the gateway's
+  /// clock may run slow.
   explicit ConfigLease(Duration length);
 
   static constexpr double kClockRateError = 0.01;
 
-  /// Takes a version into force. False, and nothing changes, unless it is
-  /// above the present one.
+  /// Switches the lease to a version. Returns false and changes nothing unless
+  /// `version` is above the present one.
   bool Accept(uint64_t version);
 
-  /// A voter answered. An answer that names a newer version than the present
-  /// one counts once that version is taken.
+  /// Records a voter's reply. A reply that names a version above the present
+  /// one counts only after Accept() of that version or a higher one. A reply is
+  /// ignored when its request was sent no later than that of the node's newest
+  /// recorded reply.
   void OnVote(const LeaseVote& vote);
 
   uint64_t version() const { return version_; }
 
-  /// The lease's end; the clock's epoch when there was none yet. Never falls.
+  /// End of the lease; the clock's epoch before the first majority. Never
+  /// decreases.
   TimePoint valid_until() const { return valid_until_; }
 
   bool IsValid(TimePoint now) const {
@@ -48,7 +52,8 @@
   const Duration length_;
   uint64_t version_ = 0;
   TimePoint valid_until_{};
-  /// For each node the answers that may still count, in order of time.
+  /// Replies that may still count, by node, in the order in which their
+  /// requests were sent.
   std::map<uint64_t, std::vector<LeaseVote>> votes_;
 };
 
--- a/include/citronlane/fleet/config_spread.h
+++ b/include/citronlane/fleet/config_spread.h
@@ -5,13 +5,13 @@
 
 namespace citronlane {
 
-/// How far the newest configuration has come.
+/// Propagation of the newest configuration to the gateways.
 struct ConfigSpread {
   uint64_t newest_ = 0;
-  /// Lowest version that a gateway holds; 0 when one holds none.
+  /// Lowest version held by a gateway; 0 when some gateway holds none.
   uint64_t lowest_ = 0;
   uint64_t gateways_ = 0;
-  /// Gateways that hold an older version, or none.
+  /// Number of gateways that hold an older version or none.
   uint64_t behind_ = 0;
 };
 
--- a/include/citronlane/fleet/document_patch.h
+++ b/include/citronlane/fleet/document_patch.h
@@ -9,16 +9,17 @@
 
 namespace citronlane {
 
-/// Compresses a document for receivers that hold `base`: what the two have in
-/// common costs next to nothing. An empty base makes it readable for everybody.
-/// Thread safe.
+/// Compresses a document against `base`, for receivers that hold `base`:
+/// content that both have in common takes almost no space. With an empty base
+/// every receiver can decode the result. Returns nothing with the reason in
+/// `error` when compression fails. Thread safe.
 std::optional<std::string> EncodeDocument(std::string_view document,
                                           std::string_view base,
                                           Error* error);
 
-/// Restores what EncodeDocument made against the same base. Another base, or
-/// damaged data, is an error: the data holds the document's checksum. Thread
-/// safe.
+/// Restores a document from the output of EncodeDocument() with the same base.
+/// Returns nothing with the reason in `error` for another base or damaged data,
+/// which the embedded checksum detects. Thread safe.
 std::optional<std::string> DecodeDocument(std::string_view data,
                                           std::string_view base,
                                           Error* error);
--- a/include/citronlane/fleet/drained_servers.h
+++ b/include/citronlane/fleet/drained_servers.h
@@ -8,7 +8,8 @@
 
 namespace citronlane {
 
-/// The servers, those of drained failure domains as leaving ones. Thread safe.
+/// Returns the servers in their order, with those of the drained failure
+/// domains marked as leaving. Thread safe.
 std::vector<BackendServer> WithDrained(std::vector<BackendServer> servers,
                                        const DrainedDomains::Names& domains);
 
--- a/include/citronlane/fleet/in_force_status.h
+++ b/include/citronlane/fleet/in_force_status.h
@@ -8,13 +8,14 @@
 
 namespace citronlane {
 
-/// Whether a version is in force everywhere, and what it still waits for.
+/// Whether a configuration version is in force at every gateway, and what is
+/// still missing for that.
 struct InForceStatus {
   bool in_force_ = false;
-  /// Gateways that have not reported the version. When it is in force, their
-  /// leases on an older one have run out.
+  /// Gateways that have not reported the version. If the version is in force
+  /// nevertheless, their leases on older versions have expired.
   std::vector<std::string> silent_;
-  /// When every lease on an older version has run out.
+  /// When every lease on an older version has expired.
   TimePoint leases_end_{};
 };
 
--- a/include/citronlane/fleet/in_force_tracker.h
+++ b/include/citronlane/fleet/in_force_tracker.h
@@ -13,28 +13,33 @@
 
 namespace citronlane {
 
-/// Knows when a committed version is in force everywhere: every gateway that
-/// may hold a lease on an older one has reported it, or those leases have run
-/// out. Fed in log order with what is applied. Pure. Not thread safe.
+/// Determines when a committed version is in force at every gateway: each
+/// gateway that may hold a lease on an older version has reported the new one,
+/// or these leases have expired. Call the On... functions in log order as
+/// entries are applied. Pure: no I/O, no clock. Not thread safe.
 class InForceTracker {
  public:
-  /// `start` is when this process began to know the fleet; what happened
-  /// before is covered by waiting one lease.
+  /// `lease` is the lease's length on a true clock; a clock that is slow by
+  /// ConfigLease::kClockRateError is allowed for. `start` is when this process
+  /// began to observe the fleet: leases granted before it are covered by
+  /// waiting for one lease's length.
   InForceTracker(Duration lease, TimePoint start);
 
   void OnRegistered(std::string_view gateway, uint64_t incarnation);
-  /// The gateway may hold its lease for one more length.
+  /// Records the removal of a gateway. It may hold its lease for one more
+  /// lease's length.
   void OnForgotten(std::string_view gateway,
                    uint64_t incarnation,
                    TimePoint now);
   void OnCommitted(uint64_t version, TimePoint now);
-  /// The gateway says that the version is in force there.
+  /// Records that the gateway has this version, or a higher one, in force.
   void OnReport(std::string_view gateway,
                 uint64_t incarnation,
                 uint64_t version);
 
-  /// Versions below the tracked ones are long in force; one above the newest
-  /// committed is not.
+  /// Status of a version. A version below the tracked ones counts as in force
+  /// once a lease's length has passed since `start`; one above the newest
+  /// committed version does not.
   InForceStatus StatusOf(uint64_t version, TimePoint now) const;
 
  private:
@@ -48,8 +53,8 @@
   const TimePoint start_;
   uint64_t newest_ = 0;
   std::set<Holder> registered_;
-  /// Forgotten gateways that may hold a lease, with its end.
-  std::map<Holder, TimePoint> forgotten_;
+  /// Removed gateways that may still hold a lease, and when it ends.
+  std::map<Holder, TimePoint> removed_;
   std::map<uint64_t, Pending> pending_;
 };
 
--- a/include/citronlane/fleet/lease_vote.h
+++ b/include/citronlane/fleet/lease_vote.h
@@ -8,14 +8,14 @@
 
 namespace citronlane {
 
-/// One voter's answer to a lease renewal.
+/// One voter's reply to a lease renewal.
 struct LeaseVote {
   uint64_t node_ = 0;
-  /// Voters in the log of the node that answered, ascending.
+  /// Voters according to the log of the replying node, ascending.
   std::vector<uint64_t> voters_;
   /// Newest configuration version in that log, committed or not.
   uint64_t newest_version_ = 0;
-  /// When the question was sent, on the gateway's clock.
+  /// When the renewal request was sent, by the gateway's clock.
   TimePoint sent_{};
 };
 
--- a/include/citronlane/fleet/pool_assignment.h
+++ b/include/citronlane/fleet/pool_assignment.h
@@ -15,16 +15,17 @@
 
 namespace citronlane {
 
-/// Which gateway decides for which part of a pool. The leader decides and
-/// keeps what is: a part changes hands only when its gateway is gone or going,
-/// since the next one knows nothing of the results that lie at the servers.
-/// Pure. Not thread safe.
+/// Assigns each partition of the pools to the gateway that owns it. The leader
+/// runs this and moves as little as possible: a partition changes its owner
+/// only when the owner is gone or shutting down, because a new owner does not
+/// know which results lie on the servers. It does not choose servers and sends
+/// nothing. Pure: no I/O, no clock. Not thread safe.
 class PoolAssignment {
  public:
-  /// Endpoint of the gateway that decides for each part.
+  /// Endpoint of the owner of each partition.
   using Owners = std::map<PoolPart, std::string>;
 
-  /// The service's parts among them. Thread safe.
+  /// Partitions of `service` among the keys of `owners`, in order. Thread safe.
   static std::vector<PoolPart> PartsAmong(const Owners& owners,
                                           const std::string& service);
 
@@ -32,61 +33,66 @@
   struct Gateway {
     std::string endpoint_;
     bool stopping_ = false;
-    /// How long its process has run.
+    /// Time since its process started.
     Duration age_{};
     std::string failure_domain_{};
   };
 
-  /// While a part of a new fleet has no owner yet, or the owner of a pool that
-  /// is not divided can't be reached, gateways turn to the one that is first by
-  /// this order, and the leader names the same one. Higher is better. Thread
-  /// safe.
+  /// Rank of a gateway as the next owner of a partition; higher is better.
+  /// Gateways turn to the highest-ranked one without waiting for the leader
+  /// while a partition of a new fleet has no owner, or while the owner of an
+  /// undivided pool is unreachable. The leader then names the same gateway.
+  /// Thread safe.
   using Order = std::tuple<bool, bool, uint64_t>;
-  static Order SuccessorOrder(const PoolPart& part,
+  static Order SuccessorOrder(const PoolPart& partition,
                               const std::string& endpoint,
                               bool stopping,
                               const Owners& owners);
 
-  /// This node began to lead in `term`: what it knows comes from before.
+  /// This node became the leader in `term`. Owners adopted before stay the
+  /// assumed state.
   void StartLeading(TimePoint now, uint64_t term);
-  /// What a gateway was told last, by this leader or one before; the highest
-  /// number is the newest.
+  /// Takes the owners that a gateway last received, from this leader or an
+  /// earlier one, if `number` is higher than the present number.
   void Adopt(uint64_t number, const Owners& owners);
-  /// Gives parts without a gateway, or whose gateway is gone or going, to
-  /// others, and forgets those that are not in `parts`. Returns whether the
-  /// number rose: with each change, and once for each leader.
-  bool Update(absl::Span<const PoolPart> parts,
+  /// Gives partitions without an owner, or whose owner is gone or shutting
+  /// down, to other gateways, and drops those that are not in `partitions`.
+  /// Returns whether the number rose: it does with each change, and once for
+  /// each leader. Does nothing and returns false without gateways, or while a
+  /// new leader still waits for gateways to report the owners they know.
+  bool Update(absl::Span<const PoolPart> partitions,
               absl::Span<const Gateway> gateways,
               TimePoint now);
 
-  /// Rises with each change, also over leaders. No two leaders give the same
-  /// one: it holds the leader's term.
+  /// Rises with each change, across leaders too. It contains the leader's term,
+  /// so two leaders never use the same number.
   uint64_t number() const { return number_; }
   const Owners& owners() const { return owners_; }
 
  private:
-  struct Sight {
-    /// Since when the part's gateway is out of sight.
-    std::optional<TimePoint> missing_since_;
-    /// Whether this leader has seen it.
-    bool was_seen_ = false;
+  struct OwnerConnection {
+    /// Since when the owner of the partition has not been connected.
+    std::optional<TimePoint> disconnected_since_;
+    /// Whether the owner has been connected to this leader.
+    bool was_connected_ = false;
   };
 
-  bool IsGathering(absl::Span<const Gateway> gateways, TimePoint now) const;
+  bool IsAwaitingOwnerReports(absl::Span<const Gateway> gateways,
+                              TimePoint now) const;
   bool IsNewFleet(absl::Span<const Gateway> gateways) const;
-  bool KeepsOwner(const PoolPart& part,
+  bool KeepsOwner(const PoolPart& partition,
                   absl::Span<const Gateway> gateways,
                   TimePoint now);
   std::string Choose(absl::Span<const Gateway> gateways,
-                     const PoolPart& part) const;
+                     const PoolPart& partition) const;
   std::string Successor(absl::Span<const Gateway> gateways,
-                        const PoolPart& part) const;
+                        const PoolPart& partition) const;
 
   uint64_t number_ = 0;
   Owners owners_;
-  std::map<PoolPart, Sight> sights_;
+  std::map<PoolPart, OwnerConnection> owner_connections_;
   TimePoint leading_since_;
-  /// The first number of this leader.
+  /// First number that this leader may use.
   uint64_t first_number_ = 0;
 };
 
--- a/include/citronlane/fleet/pool_division.h
+++ b/include/citronlane/fleet/pool_division.h
@@ -11,12 +11,12 @@
 
 namespace citronlane {
 
-/// Divides the pools into parts: a pool of few servers stays whole, so that
-/// its calls carry pieces of all requests; a large one, which would be more
-/// than the link and the processor of one gateway can carry, is divided by
-/// failure domain. `held` are the parts that have owners now: what is divided
-/// stays so until it has become much smaller. Each declared service has at
-/// least one part, and each server is in exactly one. Pure. Thread safe.
+/// Divides pools into partitions. A pool of few servers gets a single
+/// partition, so that its calls carry pieces of all requests. A pool too large
+/// for one gateway's network link and processor is divided by failure domain.
+/// `held` are the partitions that have owners now: a divided pool stays divided
+/// until it has become much smaller. Each service gets at least one partition,
+/// and each server that is not leaving is in exactly one. Pure. Thread safe.
 std::vector<PoolPart> DividePools(absl::Span<const PooledService> services,
                                   absl::Span<const BackendServer> servers,
                                   const PoolAssignment::Owners& held);
--- a/include/citronlane/fleet/pool_part.h
+++ b/include/citronlane/fleet/pool_part.h
@@ -7,12 +7,12 @@
 
 namespace citronlane {
 
-/// Servers of one service that one gateway decides for: those of a failure
-/// domain, or all that are in no part of their own. Small pools have just the
-/// latter.
+/// The servers of a service that one gateway owns: those of one failure domain,
+/// or all servers that are in no partition of a failure domain. A small pool
+/// has only the latter.
 struct PoolPart {
   PoolPart() = default;
-  /// The part without a failure domain.
+  /// The partition without a failure domain.
   PoolPart(std::string service)  // NOLINT(google-explicit-constructor)
       : service_(std::move(service)) {}
   PoolPart(const char* service)  // NOLINT(google-explicit-constructor)
@@ -22,10 +22,10 @@
         failure_domain_(std::move(failure_domain)) {}
 
   /// Whether it holds the servers of one failure domain only.
-  bool IsOfDomain() const { return !failure_domain_.empty(); }
-  /// For logs, and for what is hashed by part.
+  bool IsDomainPartition() const { return !failure_domain_.empty(); }
+  /// Name for logs, and the key by which a partition is hashed.
   std::string Name() const {
-    return IsOfDomain() ? service_ + "/" + failure_domain_ : service_;
+    return IsDomainPartition() ? service_ + "/" + failure_domain_ : service_;
   }
 
   friend bool operator==(const PoolPart& a, const PoolPart& b) {
@@ -40,7 +40,7 @@
   }
 
   std::string service_;
-  /// Empty: the servers of all domains that have no part.
+  /// Empty for the servers of all failure domains that have no partition.
   std::string failure_domain_;
 };
 
--- a/include/citronlane/fleet/pooled_service.h
+++ b/include/citronlane/fleet/pooled_service.h
@@ -8,15 +8,16 @@
 
 class ServingConfig;
 
-/// A declared service for whose servers gateways decide on behalf of all.
+/// A declared service whose servers are used through partition owners: one
+/// gateway decides for all.
 struct PooledService {
   std::string name_;
-  /// Its servers are model engines, on which requests are placed; else they
-  /// take calls of a stage.
+  /// True when its servers are model engines on which requests are placed;
+  /// false when they take calls of a stage.
   bool has_engines_ = false;
 };
 
-/// Those that a configuration declares. Thread safe.
+/// Pooled services of a configuration, in its order. Thread safe.
 std::vector<PooledService> PooledServicesOf(const ServingConfig& config);
 
 }  // namespace citronlane
--- a/include/citronlane/fleet/recent_documents.h
+++ b/include/citronlane/fleet/recent_documents.h
@@ -12,30 +12,34 @@
 
 namespace citronlane {
 
-/// The newest version of a document, and those before it as far as their bytes
-/// fit, so that a receiver of one of them is sent the difference. Not thread
-/// safe.
+/// The newest version of a document, and as many previous versions as fit a
+/// byte limit, so that a receiver that holds one of them is sent only the
+/// difference. Not thread safe.
 class RecentDocuments {
  public:
-  /// The newest version, for those who hold `base_`; for everybody when there
-  /// is none.
+  /// The newest version, encoded for receivers that hold version `base_`, or
+  /// for every receiver when `base_` is not set.
   struct Update {
     uint64_t version_ = 0;
     std::optional<uint64_t> base_;
     std::string data_;
   };
 
-  /// The newest document is kept whatever its size.
+  /// `max_bytes` bounds the documents kept. The newest one is kept whatever its
+  /// size.
   explicit RecentDocuments(size_t max_bytes);
 
-  /// Adds a version. One that is lower than the newest takes the place of all.
+  /// Adds a version; no effect if it is the newest already. A version below the
+  /// newest replaces all documents.
   void Add(uint64_t version, std::string_view document);
 
-  /// Highest version added; nothing when there is none.
+  /// Newest version; nothing when there is none.
   std::optional<uint64_t> newest() const;
-  /// Update to the newest version for a receiver of `held`, made once for all
-  /// that hold the same; null with the reason when it can't be made. Valid
-  /// until the next call of Add. Precondition: a document was added.
+  /// Update to the newest version for a receiver that holds version `held`,
+  /// encoded once for all such receivers. A version that is not kept is treated
+  /// as none. Returns null with the reason in `error` when encoding fails. The
+  /// pointer is valid until the next call of Add(). Precondition: a document
+  /// was added.
   const Update* UpdateFrom(std::optional<uint64_t> held, Error* error);
 
   size_t bytes() const { return bytes_; }
@@ -45,7 +49,7 @@
 
   const size_t max_bytes_;
   std::map<uint64_t, std::string> documents_;
-  /// Updates to the newest version by their base.
+  /// Updates to the newest version, by their base.
   std::map<std::optional<uint64_t>, Update> updates_;
   size_t bytes_ = 0;
 };
--- a/include/citronlane/fleet/rendezvous.h
+++ b/include/citronlane/fleet/rendezvous.h
@@ -7,8 +7,8 @@
 namespace citronlane {
 
 /// Weight of a node for a key in rendezvous hashing: the node with the highest
-/// weight is the key's home. Whoever knows the same nodes finds the same home,
-/// and a node that comes or goes moves only its own keys. Thread safe.
+/// weight is preferred for the key. All who know the same nodes agree on it,
+/// and a node that joins or leaves moves only its own keys. Thread safe.
 uint64_t RendezvousWeight(std::string_view key, std::string_view node);
 
 }  // namespace citronlane
--- a/include/citronlane/fleet/server_starts.h
+++ b/include/citronlane/fleet/server_starts.h
@@ -12,27 +12,30 @@
 
 namespace citronlane {
 
-/// Which start of each backend server counts, from lists that may arrive late
-/// or hold a server twice. The newest one does; an older one that goes on being
-/// listed is a start by a clock that was set back, and counts after a while.
-/// Leans on no clock but that of the reader. Pure. Not thread safe.
+/// Determines the current incarnation of each backend server from server lists
+/// that may arrive late or contain a server twice. The newest incarnation is
+/// current. If an older one keeps being listed, the server has restarted with a
+/// clock that was set back, and the older one becomes current after a delay.
+/// Relies on no clock but the reader's. Pure: no I/O. Not thread safe.
 class ServerStarts {
  public:
-  /// Leaves one entry a server in a list that was read at `read`, in the list's
-  /// order. Call with each list, oldest first.
+  /// Returns the current incarnation of each listed server, in the list's
+  /// order. `read` is when the list was read. Call with every list, oldest
+  /// first.
   std::vector<BackendServer> Latest(std::vector<BackendServer> servers,
                                     TimePoint read);
 
-  /// Starts taken for earlier ones in the last list, and those that were taken
-  /// after all since the beginning: a server's clock went back.
+  /// Number of servers that the last list showed with an outdated incarnation,
+  /// and how many times since construction an older incarnation became current
+  /// because a server's clock was set back.
   size_t outdated() const { return outdated_; }
-  size_t set_back() const { return set_back_; }
+  size_t clocks_set_back() const { return clocks_set_back_; }
 
  private:
   struct Known {
     BackendServer server_;
-    /// Since when only an earlier start has been listed.
-    std::optional<TimePoint> earlier_since_;
+    /// Since when only an older incarnation has been listed.
+    std::optional<TimePoint> older_since_;
   };
 
   BackendServer Choose(const BackendServer& listed,
@@ -41,7 +44,7 @@
 
   std::map<std::string, Known> known_;
   size_t outdated_ = 0;
-  size_t set_back_ = 0;
+  size_t clocks_set_back_ = 0;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/fleet/server_state.h
+++ b/include/citronlane/fleet/server_state.h
@@ -5,9 +5,9 @@
 
 namespace citronlane {
 
-/// What is known of a backend server's life.
+/// Incarnation of a backend server and whether it is leaving.
 struct ServerState {
-  /// Rises with each start of the server; 0 while unknown.
+  /// Rises with each restart of the server; 0 while unknown.
   uint64_t incarnation_ = 0;
   bool leaving_ = false;
 
--- a/include/citronlane/fleet/server_states.h
+++ b/include/citronlane/fleet/server_states.h
@@ -10,19 +10,20 @@
 
 namespace citronlane {
 
-/// States of the backend servers, merged from lists and sightings of any age:
-/// leaving wins within an incarnation, a higher incarnation wins over a lower
-/// one, so an old list never brings a server back. Pure. Not thread safe.
+/// States of the backend servers, merged from lists and observations of any
+/// age. Within an incarnation `leaving_` is never reset, and a higher
+/// incarnation replaces a lower one, so an old list never reactivates a server.
+/// Pure: no I/O. Not thread safe.
 class ServerStates {
  public:
-  /// Takes one sighting. Returns whether anything changed.
-  bool Merge(std::string_view server, const ServerState& seen);
+  /// Merges one observation. Returns whether anything changed.
+  bool Merge(std::string_view server, const ServerState& observed);
 
-  /// Returns what Merge would make of the two; for known incarnations the
-  /// order does not matter. Leaving in an unknown incarnation means the
-  /// present one.
+  /// Returns the merged state. For known incarnations the result does not
+  /// depend on the order of merging. An observation with an unknown incarnation
+  /// that says leaving applies to the present incarnation.
   static ServerState Combine(const ServerState& present,
-                             const ServerState& seen);
+                             const ServerState& observed);
 
   const std::map<std::string, ServerState, std::less<>>& states() const {
     return states_;
--- a/include/citronlane/fleet/update_pause.h
+++ b/include/citronlane/fleet/update_pause.h
@@ -5,9 +5,9 @@
 
 namespace citronlane {
 
-/// How long a receiver puts off the next update after one that took it `took`
-/// to read, so that a series of large ones leaves it most of its processor.
-/// None after one that was quick. Thread safe.
+/// Returns how long a receiver should delay the next update after one that took
+/// `took` to process, so that a series of large updates leaves most of the
+/// processor for requests. Zero after a quick update. Thread safe.
 Duration PauseAfterUpdate(Duration took);
 
 }  // namespace citronlane
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -169,7 +169,7 @@
         "or_may_have_run",
         PLATFORM + "StartAgainTest.test_kept_connections_end_with_their_"
         "start",
-        "unit-server-starts: starts of backend servers",
+        "unit-server-starts: incarnations of backend servers",
         "unit-platform: platform servers that start again",
         "unit-relay: an engine that starts again has no past",
         "unit-stages: stage failures"]),
--- a/src/fleet/config_lease.cc
+++ b/src/fleet/config_lease.cc
@@ -7,7 +7,7 @@
 namespace citronlane {
 namespace {
 
-/// Answers kept for one node; changes may follow faster than they are applied.
+/// Replies kept for one node; versions may follow faster than they are applied.
 constexpr size_t kMaxVotesPerNode = 16;
 
 Duration Shorten(Duration length) {
@@ -33,7 +33,7 @@
   if (!votes.empty() && votes.back().sent_ >= vote.sent_) {
     return;
   }
-  // Of several answers that count alike, the latest says most.
+  // A later reply makes earlier ones with the same or a newer version obsolete.
   votes.erase(std::remove_if(votes.begin(), votes.end(),
                              [&vote](const LeaseVote& old) {
                                return old.newest_version_ >=
--- a/src/fleet/document_patch.cc
+++ b/src/fleet/document_patch.cc
@@ -8,16 +8,16 @@
 namespace citronlane {
 namespace {
 
-/// No configuration is larger; a frame that claims more is damaged.
+/// Upper bound on a configuration's size; a frame that claims more is damaged.
 constexpr uint64_t kMaxDocumentBytes = uint64_t{64} << 20;
-/// Binary logarithm of bytes: reaches the start of the base from the end of the
-/// largest document.
+/// Binary logarithm of a size in bytes: spans the largest document and its
+/// base.
 constexpr int kMaxWindowLog = 27;
 
 using Compressor = std::unique_ptr<ZSTD_CCtx, size_t (*)(ZSTD_CCtx*)>;
 using Decompressor = std::unique_ptr<ZSTD_DCtx, size_t (*)(ZSTD_DCtx*)>;
 
-// Smallest window that reaches back from the document's end to the base's
+// Smallest window that reaches from the document's end back to the base's
 // start.
 int WindowLog(size_t bytes) {
   int log = ZSTD_cParam_getBounds(ZSTD_c_windowLog).lowerBound;
@@ -56,7 +56,7 @@
   const uint64_t size = ZSTD_getFrameContentSize(data.data(), data.size());
   if (size == ZSTD_CONTENTSIZE_UNKNOWN || size == ZSTD_CONTENTSIZE_ERROR ||
       size > kMaxDocumentBytes) {
-    error->message_ = "the data does not tell a document's size";
+    error->message_ = "the data states no valid document size";
     return std::nullopt;
   }
   const Decompressor context(ZSTD_createDCtx(), ZSTD_freeDCtx);
--- a/src/fleet/in_force_tracker.cc
+++ b/src/fleet/in_force_tracker.cc
@@ -26,7 +26,7 @@
                                  TimePoint now) {
   Holder holder(std::string(gateway), incarnation);
   registered_.erase(holder);
-  forgotten_[std::move(holder)] = now + lease_;
+  removed_[std::move(holder)] = now + lease_;
 }
 
 void InForceTracker::OnCommitted(uint64_t version, TimePoint now) {
@@ -34,9 +34,9 @@
   Pending& pending = pending_[version];
   pending.leases_end_ = now + lease_;
   pending.silent_ = registered_;
-  for (auto holder = forgotten_.begin(); holder != forgotten_.end();) {
+  for (auto holder = removed_.begin(); holder != removed_.end();) {
     if (holder->second <= now) {
-      holder = forgotten_.erase(holder);
+      holder = removed_.erase(holder);
     } else {
       pending.silent_.insert(holder->first);
       ++holder;
@@ -70,7 +70,7 @@
     status.silent_.push_back(holder.first);
   }
   status.leases_end_ = pending.leases_end_;
-  // Gateways forgotten before this process began are not known by name.
+  // Gateways removed before this process started are not known by name.
   const bool all_reported = pending.silent_.empty() && now >= start_ + lease_;
   status.in_force_ = all_reported || now >= pending.leases_end_;
   return status;
--- a/src/fleet/pool_division.cc
+++ b/src/fleet/pool_division.cc
@@ -7,28 +7,30 @@
 namespace citronlane {
 namespace {
 
-/// Most servers of a whole pool. A stage's gateway forms every call to them and
-/// hears of every piece; placing a request on an engine is one question.
-constexpr size_t kMostStageServers = 24;
-constexpr size_t kMostEngines = 96;
-/// A divided pool is whole again only with the most divided by this, so that
-/// servers that come and go do not divide it again and again.
+/// Largest undivided pools. The owner of a stage pool forms every call and
+/// tracks every piece; for an engine it only answers one placement question a
+/// request.
+constexpr size_t kMaxUndividedStageServers = 24;
+constexpr size_t kMaxUndividedEngines = 96;
+/// A divided pool is merged again only below the limit divided by this, so that
+/// servers that join and leave do not divide it again and again.
 constexpr size_t kMergeDivisor = 2;
-/// A failure domain with fewer servers gets no part: a call waits for one of
-/// few servers longer than for one of many.
-constexpr size_t kLeastServers = 4;
+/// A failure domain with fewer servers gets no partition of its own: a call
+/// waits longer for one of few servers than for one of many.
+constexpr size_t kMinPartitionServers = 4;
 
 using ServersByDomain = std::map<std::string, size_t>;
 
 bool IsDivided(const PooledService& service,
                size_t servers,
                const PoolAssignment::Owners& held) {
-  const size_t most = service.has_engines_ ? kMostEngines : kMostStageServers;
-  const auto parts = PoolAssignment::PartsAmong(held, service.name_);
-  const bool was_divided =
-      std::any_of(parts.begin(), parts.end(),
-                  [](const PoolPart& part) { return part.IsOfDomain(); });
-  return servers > (was_divided ? most / kMergeDivisor : most);
+  const size_t max_servers =
+      service.has_engines_ ? kMaxUndividedEngines : kMaxUndividedStageServers;
+  const auto partitions = PoolAssignment::PartsAmong(held, service.name_);
+  const bool was_divided = std::any_of(
+      partitions.begin(), partitions.end(),
+      [](const PoolPart& partition) { return partition.IsDomainPartition(); });
+  return servers > (was_divided ? max_servers / kMergeDivisor : max_servers);
 }
 
 ServersByDomain CountByDomain(const std::string& service,
@@ -45,26 +47,26 @@
 void Divide(const PooledService& service,
             const ServersByDomain& counts,
             const PoolAssignment::Owners& held,
-            std::vector<PoolPart>* parts) {
+            std::vector<PoolPart>* partitions) {
   size_t all = 0;
   for (const auto& [domain, count] : counts) {
     all += count;
   }
   if (!IsDivided(service, all, held)) {
-    parts->emplace_back(service.name_);
+    partitions->emplace_back(service.name_);
     return;
   }
   bool has_rest = false;
   for (const auto& [domain, count] : counts) {
-    const PoolPart part(service.name_, domain);
-    if (count >= kLeastServers || held.count(part) != 0) {
-      parts->push_back(part);
+    const PoolPart partition(service.name_, domain);
+    if (count >= kMinPartitionServers || held.count(partition) != 0) {
+      partitions->push_back(partition);
     } else {
       has_rest = true;
     }
   }
   if (has_rest) {
-    parts->emplace_back(service.name_);
+    partitions->emplace_back(service.name_);
   }
 }
 
@@ -73,11 +75,11 @@
 std::vector<PoolPart> DividePools(absl::Span<const PooledService> services,
                                   absl::Span<const BackendServer> servers,
                                   const PoolAssignment::Owners& held) {
-  std::vector<PoolPart> parts;
+  std::vector<PoolPart> partitions;
   for (const PooledService& service : services) {
-    Divide(service, CountByDomain(service.name_, servers), held, &parts);
+    Divide(service, CountByDomain(service.name_, servers), held, &partitions);
   }
-  return parts;
+  return partitions;
 }
 
 }  // namespace citronlane
--- a/src/fleet/server_starts.cc
+++ b/src/fleet/server_starts.cc
@@ -5,9 +5,10 @@
 namespace citronlane {
 namespace {
 
-/// Lists lag by less than a second, and are read at least once a second: who is
-/// still listed with an earlier start by now has no later one.
-constexpr Duration kClockSetBack = std::chrono::seconds(3);
+/// Lists lag by less than a second and are read at least once a second: a
+/// server that is still listed with an older incarnation after this time has no
+/// newer one.
+constexpr Duration kClockSetBackDelay = std::chrono::seconds(3);
 
 }  // namespace
 
@@ -15,18 +16,18 @@
                                    Known* known,
                                    TimePoint read) {
   if (listed.started_ms_ >= known->server_.started_ms_) {
-    known->earlier_since_.reset();
+    known->older_since_.reset();
     return listed;
   }
-  if (!known->earlier_since_) {
-    known->earlier_since_ = read;
+  if (!known->older_since_) {
+    known->older_since_ = read;
   }
-  if (read - *known->earlier_since_ < kClockSetBack) {
+  if (read - *known->older_since_ < kClockSetBackDelay) {
     ++outdated_;
     return known->server_;
   }
-  ++set_back_;
-  known->earlier_since_.reset();
+  ++clocks_set_back_;
+  known->older_since_.reset();
   return listed;
 }
 
@@ -34,7 +35,7 @@
     std::vector<BackendServer> servers,
     TimePoint read) {
   outdated_ = 0;
-  // A server that is listed twice counts by its latest entry.
+  // Of a server that is listed twice, the newest incarnation counts.
   std::map<std::string, size_t> places;
   std::vector<BackendServer> latest;
   for (BackendServer& server : servers) {
--- a/src/fleet/server_states.cc
+++ b/src/fleet/server_states.cc
@@ -2,13 +2,13 @@
 
 namespace citronlane {
 
-bool ServerStates::Merge(std::string_view server, const ServerState& seen) {
+bool ServerStates::Merge(std::string_view server, const ServerState& observed) {
   const auto found = states_.find(server);
   if (found == states_.end()) {
-    states_.emplace(std::string(server), seen);
+    states_.emplace(std::string(server), observed);
     return true;
   }
-  const ServerState combined = Combine(found->second, seen);
+  const ServerState combined = Combine(found->second, observed);
   if (combined == found->second) {
     return false;
   }
@@ -17,14 +17,15 @@
 }
 
 ServerState ServerStates::Combine(const ServerState& present,
-                                  const ServerState& seen) {
-  const bool same = seen.incarnation_ == present.incarnation_;
-  if (seen.incarnation_ > present.incarnation_) {
-    const bool sticks = present.incarnation_ == 0 && present.leaving_;
-    return {seen.incarnation_, seen.leaving_ || sticks};
+                                  const ServerState& observed) {
+  const bool same = observed.incarnation_ == present.incarnation_;
+  if (observed.incarnation_ > present.incarnation_) {
+    const bool stays_leaving = present.incarnation_ == 0 && present.leaving_;
+    return {observed.incarnation_, observed.leaving_ || stays_leaving};
   }
-  const bool counts = same || seen.incarnation_ == 0;
-  return {present.incarnation_, present.leaving_ || (counts && seen.leaving_)};
+  const bool applies = same || observed.incarnation_ == 0;
+  return {present.incarnation_,
+          present.leaving_ || (applies && observed.leaving_)};
 }
 
 }  // namespace citronlane
--- a/src/relay/fleet_view.cc
+++ b/src/relay/fleet_view.cc
@@ -118,7 +118,7 @@
 bool FleetView::HasPart(const PoolPart& part) const {
   const auto parts = parts_.find(part.service_);
   return parts == parts_.end()
-             ? !part.IsOfDomain()
+             ? !part.IsDomainPartition()
              : std::find(parts->second.begin(), parts->second.end(), part) !=
                    parts->second.end();
 }
@@ -126,16 +126,17 @@
 bool FleetView::IsElsewhere(const PoolPart& part,
                             const std::string& endpoint) const {
   const auto owner = owners_.find(part);
-  const bool has_other =
-      part.IsOfDomain() && owner != owners_.end() && owner->second != endpoint;
+  const bool has_other = part.IsDomainPartition() && owner != owners_.end() &&
+                         owner->second != endpoint;
   return !HasPart(part) || has_other;
 }
 
 bool FleetView::IsDivided(const std::string& service) const {
   const auto parts = parts_.find(service);
   return parts != parts_.end() &&
-         std::any_of(parts->second.begin(), parts->second.end(),
-                     [](const PoolPart& part) { return part.IsOfDomain(); });
+         std::any_of(
+             parts->second.begin(), parts->second.end(),
+             [](const PoolPart& part) { return part.IsDomainPartition(); });
 }
 
 PoolPart FleetView::PartIn(const std::string& service,
--- a/src/relay/gateway_host_feed.cc
+++ b/src/relay/gateway_host_feed.cc
@@ -127,7 +127,8 @@
        {"age_ms", SteadyNow() - read},
        {"unusable", static_cast<uint64_t>(unusable)},
        {"outdated_starts", static_cast<uint64_t>(view_.starts().outdated())},
-       {"clocks_set_back", static_cast<uint64_t>(view_.starts().set_back())}});
+       {"clocks_set_back",
+        static_cast<uint64_t>(view_.starts().clocks_set_back())}});
   ServersChanged();
 }
 
--- a/src/relay/stage_owners_free.cc
+++ b/src/relay/stage_owners_free.cc
@@ -84,7 +84,7 @@
 void StageOwners::FreeAtNextOwners(TimePoint now) {
   std::deque<Freed> kept;
   for (Freed& freed : std::exchange(freed_, {})) {
-    if (freed.part_.IsOfDomain() &&
+    if (freed.part_.IsDomainPartition() &&
         owners_.OwnerOf(freed.part_, now) != freed.owner_) {
       SendFree(freed.at_, freed.part_, freed.handles_);
     } else {
--- a/src/relay/stage_runner_announce.cc
+++ b/src/relay/stage_runner_announce.cc
@@ -38,7 +38,7 @@
     }
     for (const PoolPart& part :
          view_->PartsOf(job_->route_->stages_[i].service_)) {
-      if (part.IsOfDomain() && part.failure_domain_ != failure_domain_) {
+      if (part.IsDomainPartition() && part.failure_domain_ != failure_domain_) {
         domains.insert(part.failure_domain_);
       }
     }
--- a/tests/unit-config-lease.cc
+++ b/tests/unit-config-lease.cc
@@ -22,8 +22,8 @@
   return {node, {1, 2, 3}, newest, At(sent_ms)};
 }
 
-// A fleet's log as a gateway's questions meet it: voters whose newest version
-// rises as entries reach them, and commits by any majority.
+// Voters as lease renewals find them: each one's newest version rises as
+// entries reach it, and a version is committed once any majority has it.
 struct Voters {
   std::vector<uint64_t> newest_ = {1, 1, 1, 1, 1};
   std::vector<std::pair<uint64_t, TimePoint>> commits_;
@@ -42,8 +42,8 @@
   }
 };
 
-// Runs one schedule; returns whether the lease ever held on a version although
-// a newer one had been committed for longer than the lease.
+// Runs one random schedule. Returns whether the lease was ever valid for a
+// version although a newer one had been committed for the lease's length.
 bool OutlivesCommit(uint32_t seed) {
   std::mt19937 random(seed);
   const auto below = [&random](int64_t limit) {
@@ -53,7 +53,7 @@
   ConfigLease lease(kLength);
   lease.Accept(1);
   Voters voters;
-  std::vector<std::pair<int64_t, LeaseVote>> answers;
+  std::vector<std::pair<int64_t, LeaseVote>> replies;
   for (int64_t now = 1; now < 20000; now += 1 + below(200)) {
     if (below(6) == 0) {
       voters.Append(below(5), At(now));
@@ -61,13 +61,13 @@
     if (below(20) == 0) {
       lease.Accept(voters.Committed() - below(2));
     }
-    const size_t asked = below(5);
-    // The question takes time to arrive and the answer to come back.
-    answers.emplace_back(
+    const size_t voter = below(5);
+    // Both the request and its reply are delayed.
+    replies.emplace_back(
         now + below(2500),
-        LeaseVote{asked + 1, members, voters.newest_[asked],
+        LeaseVote{voter + 1, members, voters.newest_[voter],
                   At(now - std::min<int64_t>(now - 1, below(300)))});
-    for (auto& [due, vote] : answers) {
+    for (auto& [due, vote] : replies) {
       if (due <= now) {
         lease.OnVote(vote);
         due = INT64_MAX;
@@ -95,10 +95,10 @@
     lease.OnVote(Vote(2, 4, 1200));
     CHECK(lease.IsValid(At(1000)));
   }
-  SECTION("lapses at the bound, counted from the question") {
+  SECTION("expires at its length after the request was sent") {
     lease.OnVote(Vote(1, 4, 1000));
     lease.OnVote(Vote(2, 4, 1200));
-    lease.OnVote(Vote(2, 4, 9000));  // Voter 1 is cut off from now on.
+    lease.OnVote(Vote(2, 4, 9000));  // Voter 1 no longer replies.
     CHECK(lease.valid_until() == At(1000 + 2970));
     CHECK(lease.IsValid(At(3969)));
     CHECK_FALSE(lease.IsValid(At(3970)));
@@ -112,7 +112,7 @@
       CHECK(lease.IsValid(At(1000)));
     }
   }
-  SECTION("does not count answers of two memberships together") {
+  SECTION("does not combine replies of two memberships") {
     lease.OnVote({1, {1, 2, 3}, 4, At(1000)});
     lease.OnVote({2, {1, 2, 3, 4}, 4, At(1000)});
     CHECK_FALSE(lease.IsValid(At(1000)));
@@ -153,7 +153,7 @@
     tracker.OnReport("b", 1, 8);
     CHECK(tracker.StatusOf(7, At(10001)).in_force_);
   }
-  SECTION("or once the leases of the silent have run out") {
+  SECTION("or once the leases of the others have expired") {
     tracker.OnReport("a", 1, 7);
     CHECK_FALSE(tracker.StatusOf(7, At(13029)).in_force_);
     CHECK(tracker.StatusOf(7, At(13030)).in_force_);
@@ -165,7 +165,7 @@
     tracker.OnReport("b", 2, 7);
     CHECK_FALSE(tracker.StatusOf(7, At(10001)).in_force_);
   }
-  SECTION("a forgotten gateway may still hold its lease") {
+  SECTION("a removed gateway may still hold its lease") {
     tracker.OnReport("a", 1, 7);
     tracker.OnReport("b", 1, 7);
     tracker.OnForgotten("b", 1, At(11000));
@@ -174,13 +174,13 @@
     CHECK_FALSE(tracker.StatusOf(8, At(11600)).in_force_);
     CHECK(tracker.StatusOf(8, At(14530)).in_force_);
   }
-  SECTION("a new process waits out what it can not know") {
+  SECTION("a new process waits for leases granted before it started") {
     InForceTracker fresh(kLength, At(10000));
     fresh.OnCommitted(7, At(10000));
     CHECK_FALSE(fresh.StatusOf(7, At(13029)).in_force_);
     CHECK(fresh.StatusOf(7, At(13030)).in_force_);
   }
-  SECTION("a version that is not committed is not") {
+  SECTION("a version that is not committed is not in force") {
     CHECK_FALSE(tracker.StatusOf(8, At(60000)).in_force_);
   }
 }
@@ -189,7 +189,7 @@
   ServerStates states;
   REQUIRE(states.Merge("s", {5, false}));
 
-  SECTION("an old list never brings a server back") {
+  SECTION("an old list never reactivates a server") {
     REQUIRE(states.Merge("s", {5, true}));
     CHECK_FALSE(states.Merge("s", {5, false}));
     CHECK_FALSE(states.Merge("s", {4, false}));
@@ -200,30 +200,30 @@
     CHECK(states.Merge("s", {6, false}));
     CHECK_FALSE(states.states().at("s").leaving_);
   }
-  SECTION("an old list does not take a later incarnation away") {
+  SECTION("an old list does not replace a later incarnation") {
     CHECK_FALSE(states.Merge("s", {4, true}));
   }
-  SECTION("leaving in an unknown incarnation means the present one") {
+  SECTION("leaving in an unknown incarnation applies to the present one") {
     CHECK(states.Merge("s", {0, true}));
     CHECK(states.states().at("s") == ServerState{5, true});
     states.Merge("t", {0, true});
     states.Merge("t", {3, false});
     CHECK(states.states().at("t") == ServerState{3, true});
   }
-  SECTION("the order of sightings does not matter") {
+  SECTION("the order of observations does not matter") {
     std::mt19937 random(1);
     for (int round = 0; round < 1000; ++round) {
-      std::vector<ServerState> seen(6);
-      for (ServerState& state : seen) {
+      std::vector<ServerState> observed(6);
+      for (ServerState& state : observed) {
         state = {1 + random() % 3, random() % 2 == 0};
       }
       ServerStates first;
       ServerStates second;
-      for (const ServerState& state : seen) {
+      for (const ServerState& state : observed) {
         first.Merge("s", state);
       }
-      std::shuffle(seen.begin(), seen.end(), random);
-      for (const ServerState& state : seen) {
+      std::shuffle(observed.begin(), observed.end(), random);
+      for (const ServerState& state : observed) {
         second.Merge("s", state);
       }
       REQUIRE(first.states() == second.states());
--- a/tests/unit-pool-assignment.cc
+++ b/tests/unit-pool-assignment.cc
@@ -23,7 +23,7 @@
   return gateways;
 }
 
-// Services with a stage pool: one letter each.
+// Undivided pools of services with one-letter names.
 std::vector<PoolPart> Services(char last) {
   std::vector<PoolPart> services;
   for (char name = 'a'; name <= last; ++name) {
@@ -64,20 +64,20 @@
     CHECK(assignment.owners().at("b") == first.at("b"));
   }
 
-  SECTION("newcomers take nothing") {
+  SECTION("gateways that join take no pools") {
     gateways.push_back({"new", false, seconds(10)});
     CHECK_FALSE(assignment.Update(services, gateways, now + seconds(1)));
     CHECK(assignment.owners() == first);
   }
 
-  SECTION("only the pools of one that is gone change hands") {
+  SECTION("only the pools of a gateway that is gone change their owner") {
     std::vector<Gateway> rest;
     for (const Gateway& gateway : gateways) {
       if (gateway.endpoint_ != first.at("a")) {
         rest.push_back(gateway);
       }
     }
-    // Not at once: its connection may have been reset.
+    // Not immediately: its connection may have been reset.
     CHECK_FALSE(assignment.Update(services, rest, now));
     CHECK(assignment.Update(services, rest, now + milliseconds(400)));
     CHECK(assignment.owners().at("a") != first.at("a"));
@@ -87,7 +87,7 @@
     CHECK(assignment.number() == first_number + 1);
   }
 
-  SECTION("one that is back in time keeps its pools") {
+  SECTION("a gateway that reconnects in time keeps its pools") {
     const std::vector<Gateway> rest(gateways.begin() + 1, gateways.end());
     assignment.Update(services, rest, now);
     assignment.Update(services, gateways, now + milliseconds(200));
@@ -96,7 +96,7 @@
   }
 
   SECTION(
-      "the pool of one that is lost goes where gateways turn by themselves") {
+      "the pool of a lost gateway goes to the successor that gateways use") {
     std::vector<Gateway> rest;
     std::string successor;
     PoolAssignment::Order best;
@@ -115,13 +115,13 @@
     assignment.Update(services, rest, now);
     REQUIRE(assignment.Update(services, rest, now + milliseconds(400)));
     CHECK(assignment.owners().at("a") == successor);
-    // Not one that runs a pool already.
+    // Not a gateway that owns a pool already.
     for (size_t i = 1; i < services.size(); ++i) {
       CHECK(first.at(services[i]) != successor);
     }
   }
 
-  SECTION("a gateway that stops hands over at once") {
+  SECTION("a gateway that shuts down hands its pools over immediately") {
     for (Gateway& gateway : gateways) {
       gateway.stopping_ = gateway.endpoint_ == first.at("c");
     }
@@ -129,14 +129,14 @@
     CHECK(assignment.owners().at("c") != first.at("c"));
   }
 
-  SECTION("when all stop nobody hands over to one that stops too") {
+  SECTION("no pool moves when all gateways shut down") {
     for (Gateway& gateway : gateways) {
       gateway.stopping_ = true;
     }
     CHECK_FALSE(assignment.Update(services, gateways, now));
   }
 
-  SECTION("restarted in turn, each pool moves a few times, not with each") {
+  SECTION("a rolling restart moves each pool only a few times") {
     int changes = 0;
     for (size_t i = 0; i < gateways.size(); ++i) {
       for (int step = 0; step < 40; ++step) {
@@ -158,7 +158,7 @@
   }
 }
 
-TEST_CASE("a new leader waits for what gateways know") {
+TEST_CASE("a new leader waits for the owners that gateways report") {
   const auto services = Services('c');
   PoolAssignment assignment;
   TimePoint now{seconds(100)};
@@ -169,14 +169,14 @@
   assignment.Adopt(41, owners);
   assignment.Adopt(40, PoolAssignment::Owners());
   now += seconds(1);
-  // The same owners under its own number, once.
+  // The owners stay, once with a number of the new leader.
   CHECK(assignment.Update(services, gateways, now));
   CHECK(assignment.owners() == owners);
   CHECK(assignment.number() > 41);
   CHECK_FALSE(assignment.Update(services, gateways, now + seconds(1)));
 }
 
-TEST_CASE("a new leader gives owners time to find it") {
+TEST_CASE("a new leader gives owners time to connect") {
   PoolAssignment assignment;
   TimePoint now{seconds(100)};
   const auto gateways = Gateways(10);
@@ -184,7 +184,7 @@
   const PoolAssignment::Owners owners{{"a", "g7"}, {"b", "g7"}, {"c", "g7"}};
   assignment.Adopt(41, owners);
   assignment.StartLeading(now, 2);
-  // Few gateways are there yet: all pools would go to these.
+  // Only two gateways are connected: all pools would move to them.
   const std::vector<Gateway> early(gateways.begin(), gateways.begin() + 2);
   for (int i = 0; i < 15; ++i) {
     now += milliseconds(100);
@@ -193,7 +193,7 @@
   }
   assignment.Update(services, gateways, now);
   CHECK(assignment.owners() == owners);
-  // Once it was there, or after a time, its pools go to others.
+  // If it connected and left, or after a delay, its pools move to others.
   const std::vector<Gateway> rest(gateways.begin(), gateways.begin() + 7);
   assignment.Update(services, rest, now);
   assignment.Update(services, rest, now + milliseconds(400));
@@ -205,12 +205,12 @@
   CHECK(assignment.owners() != owners);
 }
 
-TEST_CASE("a new leader that knows no owners waits for those who do") {
+TEST_CASE("a new leader without known owners waits for a report of them") {
   const auto services = Services('c');
   PoolAssignment assignment;
   TimePoint now{seconds(100)};
   assignment.StartLeading(now, 2);
-  // One that has just started has no owners to tell; the others are not here.
+  // One gateway has just started and none has reported owners.
   const std::vector<Gateway> early{{"young", false, seconds(1)},
                                    {"old", false, seconds(60)}};
   for (int i = 0; i < 18; ++i) {
@@ -219,7 +219,7 @@
   }
   CHECK(assignment.Update(services, early, now + milliseconds(300)));
 
-  SECTION("but not when everything has just started") {
+  SECTION("but not when all gateways have just started") {
     PoolAssignment fresh;
     fresh.StartLeading(now, 2);
     const std::vector<Gateway> young{{"young", false, seconds(1)}};
@@ -229,7 +229,7 @@
 
 TEST_CASE("two leaders never give one number to different owners") {
   const auto services = Services('z');
-  // The first leader tells only some gateways of a change before it is cut off.
+  // The first leader sends a change to some gateways only, then is cut off.
   TimePoint now{seconds(100)};
   PoolAssignment cut_off;
   cut_off.StartLeading(now, 4);
@@ -248,9 +248,9 @@
   CHECK(next.number() > cut_off.number());
 }
 
-// A loss of power of all VMs under load: the first leader finds gateways that
-// have run for a second and know no owner, and have turned to the successors
-// that all reckon alike.
+// After a power loss of all VMs the first leader meets gateways that have run
+// for a second and know no owner. They already use the successors, so the
+// leader must name these without a long wait.
 TEST_CASE("pools of a fleet that has just started") {
   const auto services = Services('c');
   PoolAssignment assignment;
@@ -262,11 +262,11 @@
   }
   assignment.StartLeading(now, 4);
 
-  SECTION("are named as soon as those that are there have been heard") {
+  SECTION("get owners as soon as connected gateways have reported") {
     CHECK_FALSE(assignment.Update(services, gateways, now + milliseconds(100)));
     CHECK(assignment.Update(services, gateways, now + milliseconds(160)));
   }
-  SECTION("stay where gateways have turned to by themselves") {
+  SECTION("get the successors that gateways already use") {
     REQUIRE(assignment.Update(services, gateways, now + milliseconds(200)));
     std::string successor;
     PoolAssignment::Order best;
@@ -285,7 +285,7 @@
     }
     CHECK(distinct.size() == services.size());
   }
-  SECTION("wait longer where a gateway may know an owner") {
+  SECTION("wait longer if a gateway may know an owner") {
     gateways[3].age_ = seconds(60);
     CHECK_FALSE(assignment.Update(services, gateways, now + milliseconds(700)));
     assignment.Adopt(9, {{"a", "g5"}});
--- a/tests/unit-server-starts.cc
+++ b/tests/unit-server-starts.cc
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-BackendServer Start(const std::string& name, int64_t started_ms) {
+BackendServer Incarnation(const std::string& name, int64_t started_ms) {
   BackendServer server;
   server.name_ = name;
   server.started_ms_ = started_ms;
@@ -30,51 +30,54 @@
 
 }  // namespace
 
-TEST_CASE("starts of backend servers") {
+TEST_CASE("incarnations of backend servers") {
   using List = std::vector<std::string>;
-  ServerStarts starts;
+  ServerStarts incarnations;
   const TimePoint now{seconds(100)};
-  CHECK(Ids(starts.Latest({Start("a", 5), Start("b", 5)}, now)) ==
-        List{"a@5", "b@5"});
+  CHECK(Ids(incarnations.Latest({Incarnation("a", 5), Incarnation("b", 5)},
+                                now)) == List{"a@5", "b@5"});
 
-  SECTION("the latest counts") {
-    CHECK(Ids(starts.Latest({Start("a", 9), Start("b", 5)},
-                            now + seconds(1))) == List{"a@9", "b@5"});
-    CHECK(starts.outdated() == 0);
+  SECTION("the newest is current") {
+    CHECK(Ids(incarnations.Latest({Incarnation("a", 9), Incarnation("b", 5)},
+                                  now + seconds(1))) == List{"a@9", "b@5"});
+    CHECK(incarnations.outdated() == 0);
   }
-  SECTION("of two entries of one list too") {
-    CHECK(Ids(starts.Latest({Start("a", 9), Start("a", 5), Start("b", 5)},
-                            now + seconds(1))) == List{"a@9", "b@5"});
-    CHECK(Ids(starts.Latest({Start("a", 5), Start("a", 9), Start("b", 5)},
-                            now + seconds(2))) == List{"a@9", "b@5"});
+  SECTION("also of two entries of one list") {
+    CHECK(Ids(incarnations.Latest(
+              {Incarnation("a", 9), Incarnation("a", 5), Incarnation("b", 5)},
+              now + seconds(1))) == List{"a@9", "b@5"});
+    CHECK(Ids(incarnations.Latest(
+              {Incarnation("a", 5), Incarnation("a", 9), Incarnation("b", 5)},
+              now + seconds(2))) == List{"a@9", "b@5"});
   }
-  SECTION("an earlier one that arrives late changes nothing") {
-    BackendServer again = Start("a", 9);
+  SECTION("an older one in a late list changes nothing") {
+    BackendServer again = Incarnation("a", 9);
     again.leaving_ = true;
-    starts.Latest({again, Start("b", 5)}, now + seconds(1));
-    const auto latest =
-        starts.Latest({Start("a", 5), Start("b", 5)}, now + seconds(2));
+    incarnations.Latest({again, Incarnation("b", 5)}, now + seconds(1));
+    const auto latest = incarnations.Latest(
+        {Incarnation("a", 5), Incarnation("b", 5)}, now + seconds(2));
     CHECK(Ids(latest) == List{"a@9", "b@5"});
     CHECK(latest[0].leaving_);
-    CHECK(starts.outdated() == 1);
-    CHECK(starts.set_back() == 0);
+    CHECK(incarnations.outdated() == 1);
+    CHECK(incarnations.clocks_set_back() == 0);
   }
-  SECTION("one that stays is a start by a clock that was set back") {
-    starts.Latest({Start("a", 9)}, now + seconds(1));
-    CHECK(Ids(starts.Latest({Start("a", 7)}, now + seconds(2))) == List{"a@9"});
-    CHECK(Ids(starts.Latest({Start("a", 7)}, now + milliseconds(4900))) ==
+  SECTION("an older one that stays listed is a restart with a clock set back") {
+    incarnations.Latest({Incarnation("a", 9)}, now + seconds(1));
+    CHECK(Ids(incarnations.Latest({Incarnation("a", 7)}, now + seconds(2))) ==
           List{"a@9"});
-    CHECK(Ids(starts.Latest({Start("a", 7)}, now + milliseconds(5100))) ==
-          List{"a@7"});
-    CHECK(starts.set_back() == 1);
-    CHECK(Ids(starts.Latest({Start("a", 7)}, now + milliseconds(5600))) ==
-          List{"a@7"});
-    CHECK(starts.outdated() == 0);
+    CHECK(Ids(incarnations.Latest({Incarnation("a", 7)},
+                                  now + milliseconds(4900))) == List{"a@9"});
+    CHECK(Ids(incarnations.Latest({Incarnation("a", 7)},
+                                  now + milliseconds(5100))) == List{"a@7"});
+    CHECK(incarnations.clocks_set_back() == 1);
+    CHECK(Ids(incarnations.Latest({Incarnation("a", 7)},
+                                  now + milliseconds(5600))) == List{"a@7"});
+    CHECK(incarnations.outdated() == 0);
   }
-  SECTION("one that was gone may come with any start") {
-    starts.Latest({Start("b", 5)}, now + seconds(1));
-    CHECK(Ids(starts.Latest({Start("a", 3), Start("b", 5)},
-                            now + seconds(2))) == List{"a@3", "b@5"});
+  SECTION("a server that was gone may return with any incarnation") {
+    incarnations.Latest({Incarnation("b", 5)}, now + seconds(1));
+    CHECK(Ids(incarnations.Latest({Incarnation("a", 3), Incarnation("b", 5)},
+                                  now + seconds(2))) == List{"a@3", "b@5"});
   }
 }
 
