--- a/include/citronlane/relay/config_receiver.h
+++ b/include/citronlane/relay/config_receiver.h
@@ -13,19 +13,20 @@
 class ConfigUpdate;
 }  // namespace wire::fleet
 
-/// Restores the configuration that control sends as a difference from the one
-/// held here. Pure. Not thread safe.
+/// Restores the configuration document from the updates that control sends,
+/// each a full document or a difference from the one held here. Pure: no I/O.
+/// Not thread safe.
 class ConfigReceiver {
  public:
-  /// Takes an update. False with the reason when it is not newer than what is
-  /// held or made for those who hold something else: that stays. Also when it
-  /// can't be restored; then nothing is held any more, so that control sends
-  /// the whole document.
+  /// Takes an update and returns whether it was applied; if not, `error` has
+  /// the reason. The document stays when the update is not newer than it or was
+  /// made for another base. When the update cannot be decoded, the document is
+  /// dropped, so that control sends the full one.
   bool Take(const wire::fleet::ConfigUpdate& update, Error* error);
 
-  /// Version of the document held; nothing when there is none.
+  /// Version of the document; nothing when there is none.
   std::optional<uint64_t> version() const { return version_; }
-  /// Empty when there is none.
+  /// The document; empty when there is none.
   const std::string& document() const { return document_; }
 
  private:
--- a/include/citronlane/relay/control_watch.h
+++ b/include/citronlane/relay/control_watch.h
@@ -25,10 +25,11 @@
 class WatchUpdate;
 }  // namespace wire::fleet
 
-/// Keeps a gateway connected to the control VM that leads. While it knows none
-/// it keeps a connection to all it has heard of, so that it hears of the next
-/// leader from that one itself; then it leaves the others. On the event loop's
-/// thread.
+/// Keeps a gateway connected to the leader among the control VMs and passes on
+/// its updates. While no leader is known, it keeps a connection to every
+/// control VM it knows, so that the next leader itself announces its
+/// leadership; then it closes the others. It does not interpret the updates.
+/// Used on the event loop's thread.
 class ControlWatch {
  public:
   struct Options {
@@ -37,14 +38,15 @@
     std::vector<std::string> seeds_;
   };
   struct Hooks {
-    /// An update of the VM that leads, or what one that does not knows of the
-    /// configuration or of other gateways, for want of any.
+    /// Called with each update of the leader. While there is none, also with
+    /// another VM's update that contains a configuration if this gateway has
+    /// none, or gateways if it never had a leader.
     std::function<void(wire::fleet::WatchUpdate* update)> updated_;
-    /// Version of the configuration held; nothing when there is none. Told to
-    /// control again after each update that brought one.
+    /// Version of the configuration held; nothing when there is none. Sent to
+    /// control again after each update that contained a configuration.
     std::function<std::optional<uint64_t>()> config_version_;
     std::function<bool()> knows_gateways_;
-    /// Adds what the gateway was told of pools and their owners.
+    /// Adds the pool owners that this gateway knows.
     std::function<void(wire::fleet::WatchRequest* request)> add_owners_;
   };
 
@@ -57,7 +59,8 @@
   ControlWatch& operator=(const ControlWatch&) = delete;
 
   void SetSeeds(std::vector<std::string> seeds);
-  /// This gateway takes no new work any more: told at once.
+  /// This gateway takes no new work any more; sends that to the leader
+  /// immediately.
   void SetStopping();
   /// Call every 50 ms.
   void Tick(TimePoint now);
@@ -65,32 +68,31 @@
   bool is_connected() const { return !leader_.empty(); }
 
  private:
-  /// A control VM that may lead.
+  /// Connection to a control VM that may be the leader.
   struct Candidate {
     std::unique_ptr<FrameLink> link_;
-    TimePoint asked_;
-    TimePoint heard_;
-    /// How long it may take to answer at all.
-    Duration first_patience_{};
+    TimePoint requested_;
+    TimePoint last_update_;
+    /// How long to wait for its first reply.
+    Duration first_reply_timeout_{};
     TimePoint next_connect_;
-    /// When to confirm the configuration that came last; nothing when that is
-    /// done.
+    /// When to acknowledge the last configuration; nothing when none is due.
     std::optional<TimePoint> confirm_at_;
     bool is_lost_ = false;
   };
 
-  std::set<std::string> Wanted() const;
+  std::set<std::string> EndpointsToWatch() const;
   void Connect(const std::string& endpoint,
                Candidate* candidate,
                TimePoint now);
   void CheckAlive(const std::string& endpoint,
                   Candidate* candidate,
                   TimePoint now);
-  void Leave(const std::string& endpoint,
-             Candidate* candidate,
-             const std::string& reason,
-             TimePoint now);
-  void Ask(FrameLink* link);
+  void Disconnect(const std::string& endpoint,
+                  Candidate* candidate,
+                  const std::string& reason,
+                  TimePoint now);
+  void SendWatchRequest(FrameLink* link);
   void Take(const std::string& endpoint, wire::fleet::Frame* frame);
   void TakeUpdate(const std::string& endpoint,
                   wire::fleet::WatchUpdate* update);
@@ -103,10 +105,12 @@
   const TimePoint started_;
   std::map<std::string, Candidate> candidates_;
   std::vector<std::string> members_;
-  /// The one that leads, and one that is said to; empty when there is none.
+  /// Endpoint of the leader, and of the leader that another VM named; empty
+  /// when there is none.
   std::string leader_;
   std::string leader_hint_;
-  /// A leader was found once: what others say of gateways is older.
+  /// Whether a leader was ever connected. Then what other VMs know of gateways
+  /// is older than the leader's list.
   bool had_leader_ = false;
   bool stopping_ = false;
 };
--- a/include/citronlane/relay/detail/gateway_host_impl.h
+++ b/include/citronlane/relay/detail/gateway_host_impl.h
@@ -34,8 +34,8 @@
 class WatchUpdate;
 }  // namespace wire::fleet
 
-/// Inner part of GatewayHost: wires the parts of a gateway together. All on the
-/// event loop's thread.
+/// Implementation of GatewayHost: connects the modules of a gateway. Used on
+/// the event loop's thread.
 class GatewayHost::Impl {
  public:
   Impl(NodeSettings settings,
@@ -46,9 +46,9 @@
   bool Run(Error* error);
 
  private:
-  /// By then every gateway has heard of a change: control tells all every
-  /// 200 ms.
-  static constexpr auto kTold = std::chrono::milliseconds(260);
+  /// Time after which every gateway has received a change: control sends
+  /// updates every 200 ms.
+  static constexpr auto kPropagationTime = std::chrono::milliseconds(260);
 
   bool Listen(HttpListener* listener, const std::string& address, Error* error);
   RelayContext MakeContext();
@@ -58,14 +58,15 @@
   ControlWatch::Hooks WatchHooks();
   void ApplyLimits();
 
-  // gateway_host_pools.cc: what decides for a service, or a part of it.
+  // gateway_host_pools.cc: routers, budgets and pools of services and
+  // partitions.
   ServiceRouter* RouterOf(const Service& service);
   ServiceRouter* EngineRouterOf(const std::string& service);
   RepeatBudget* BudgetOf(const std::string& service);
-  StagePool* PoolOf(const PoolPart& part);
+  StagePool* PoolOf(const PoolPart& partition);
   void HandBackMovedPools(TimePoint now);
 
-  // gateway_host_feed.cc: what control and the platform say of the fleet.
+  // gateway_host_feed.cc: updates from control and the platform's server list.
   void TakeUpdate(wire::fleet::WatchUpdate* update);
   void TakeConfig(const wire::fleet::ConfigUpdate& update);
   void TakeServers(std::vector<BackendServer> servers,
@@ -73,7 +74,7 @@
                    TimePoint read);
   void TakeOwners(uint64_t number, PoolAssignment::Owners owners);
   void TakeDrained(DrainedDomains::Names domains);
-  /// The view has other servers, or other states of them.
+  /// The servers of the view, or their states, have changed.
   void ServersChanged();
   void NoteUnusable(size_t unusable);
   void ReadStaleList(TimePoint now);
@@ -100,7 +101,7 @@
   std::map<std::string, std::unique_ptr<ServiceRouter>> routers_;
   std::map<std::string, std::unique_ptr<RepeatBudget>> budgets_;
   std::map<PoolPart, std::unique_ptr<StagePool>> pools_;
-  /// The owners that were known last, and since when.
+  /// Number of the owners known last, and when they became known.
   uint64_t owners_number_ = 0;
   TimePoint owners_since_;
   StageOwners owners_;
--- a/include/citronlane/relay/detail/stage_runner_answers.h
+++ b/include/citronlane/relay/detail/stage_runner_answers.h
@@ -10,13 +10,13 @@
 
 namespace citronlane {
 
-/// What the hooks of jobs fill in, each with the stage's index. Outlives the
-/// runner. On the event loop's thread.
-struct StageRunner::Answers {
-  std::vector<std::pair<size_t, StageOutcome>> new_;
+/// Results of the hooks of jobs, each with its stage's index. Outlives the
+/// runner. Used on the event loop's thread.
+struct StageRunner::Events {
+  std::vector<std::pair<size_t, StageOutcome>> outcomes_;
   /// Stages whose inputs were fetched.
-  std::vector<size_t> taken_;
-  /// Of the last announcement of all stages.
+  std::vector<size_t> inputs_taken_;
+  /// Expected waits of the last announcement of all stages.
   std::vector<std::pair<size_t, StageWait>> waits_;
   uint32_t announcement_ = 0;
 };
--- a/include/citronlane/relay/engine_placement.h
+++ b/include/citronlane/relay/engine_placement.h
@@ -33,20 +33,21 @@
 class Frame;
 }  // namespace wire::fleet
 
-/// Lets one gateway place the requests of all on the engines of a service, or
-/// of a part of it, so that it knows what each engine has to read: a gateway by
-/// itself knows only of its own requests, a small part of what queues at an
-/// engine of a large fleet. Asks that gateway, and answers for the parts that
-/// this one decides for. Who gets no answer chooses by itself. On the event
-/// loop's thread.
+/// Assigns requests to the engines of a service through one placement owner for
+/// each partition, which knows the load that all gateways put on its engines. A
+/// gateway by itself knows only its own requests, a small fraction of an
+/// engine's queue in a large fleet. This class sends questions to the placement
+/// owners and replies for the partitions that this gateway owns. A gateway that
+/// gets no reply chooses an engine by itself. Used on the event loop's thread.
 class EnginePlacement {
  public:
-  /// `server` is empty when there is none that may be chosen.
-  using Answered = std::function<void(const std::string& server)>;
-  /// Up-to-date router of a service; null when it has no engines.
+  /// Called with the id of the chosen server; empty when no engine can be
+  /// chosen.
+  using ReplyHook = std::function<void(const std::string& server)>;
+  /// Up-to-date router of a service; null when the service has no engines.
   using RouterHook = std::function<ServiceRouter*(const std::string& service)>;
 
-  /// The pointers outlive the object.
+  /// `io`, `view` and `log` must outlive the object.
   EnginePlacement(boost::asio::io_context* io,
                   const FleetView* view,
                   std::string own_endpoint,
@@ -56,40 +57,45 @@
   EnginePlacement(const EnginePlacement&) = delete;
   EnginePlacement& operator=(const EnginePlacement&) = delete;
 
-  /// What an answer is for.
+  /// Purpose of a placement question.
   enum class Purpose {
     /// The request goes to the engine now.
     kStart,
-    /// It will, once its stages are done.
+    /// The request will go to the engine after its stages.
     kPlan,
   };
 
-  /// The part whose gateway places a request on an engine of the failure
-  /// domain, or of any when the service's engines are not divided; nothing
-  /// while that gateway can't be reached and nobody takes its place.
-  std::optional<PoolPart> PartIn(const std::string& service,
-                                 const std::string& failure_domain) const;
-  /// Whether this gateway places the part's requests.
-  bool IsHere(const PoolPart& part) const;
-  /// Asks who places them for an engine of the part that is not in `excluded`.
-  /// Returns the number of the question, for Finished. `answered` is called
-  /// later, or never. Precondition: it is another gateway.
-  uint64_t Ask(Purpose purpose,
-               const PoolPart& part,
-               const EngineRouter::Call& call,
-               absl::Span<const std::string> excluded,
-               Answered answered);
-  /// There was no answer in time: who decides is passed over for a while.
-  void NoAnswer(uint64_t question);
-  void FirstEvent(uint64_t question);
-  /// The request's call to the engine is over, or there was none. Call once a
-  /// question.
-  void Finished(uint64_t question, CallOutcome outcome);
-
-  /// Takes a frame of another gateway; false when it is for others.
+  /// Partition whose owner places a request on an engine of the failure domain,
+  /// or on any engine when the service is not divided. Nothing while the owner
+  /// of a divided service's partition is unreachable, or if no partition
+  /// contains the domain.
+  std::optional<PoolPart> PartitionIn(const std::string& service,
+                                      const std::string& failure_domain) const;
+  /// Whether this gateway is the placement owner of the partition.
+  bool IsPlacementOwner(const PoolPart& partition) const;
+  /// Requests an engine of the partition that is not in `excluded` from the
+  /// placement owner. Returns the number of the question, which must be passed
+  /// to ReportFinished() once. `replied` is called later, or never.
+  /// Precondition: !IsPlacementOwner(partition).
+  uint64_t RequestEngine(Purpose purpose,
+                         const PoolPart& partition,
+                         const EngineRouter::Call& call,
+                         absl::Span<const std::string> excluded,
+                         ReplyHook replied);
+  /// Reports that no reply came in time. After several in a row the placement
+  /// owner is excluded for a while.
+  void ReportNoReply(uint64_t question);
+  void ReportFirstEvent(uint64_t question);
+  /// Reports that the request's call to the engine ended, or that there was
+  /// none. Call once for each question.
+  void ReportFinished(uint64_t question, CallOutcome outcome);
+
+  /// Handles a frame of another gateway. Returns false for frames of other
+  /// modules.
   bool Take(const std::shared_ptr<FrameChannel>& channel,
             const wire::fleet::Frame& frame);
-  /// The connection of another gateway ended, and with it what it runs.
+  /// The connection of another gateway ended. Its requests are no longer
+  /// counted as running.
   void Closed(const FrameChannel* channel);
 
   size_t placed() const { return placed_.size(); }
@@ -97,9 +103,9 @@
  private:
   struct Question {
     std::string owner_;
-    Answered answered_;
+    ReplyHook replied_;
   };
-  /// A request of another gateway that runs on an engine.
+  /// A request of another gateway that was placed on an engine.
   struct Placed {
     std::string service_;
     std::string server_;
@@ -108,8 +114,8 @@
   };
   using PlacedKey = std::pair<const FrameChannel*, uint64_t>;
 
-  void Answer(const std::shared_ptr<FrameChannel>& channel,
-              const wire::fleet::EngineAsk& ask);
+  void ReplyTo(const std::shared_ptr<FrameChannel>& channel,
+               const wire::fleet::EngineAsk& ask);
   void TakeFirstEvent(const PlacedKey& key);
   void End(const PlacedKey& key, CallOutcome outcome);
   FrameLink* LinkTo(const std::string& endpoint);
@@ -123,7 +129,7 @@
   uint64_t last_question_ = 0;
   std::map<uint64_t, Question> questions_;
   std::map<std::string, std::unique_ptr<FrameLink>> links_;
-  /// Questions in a row without an answer, by the gateway asked.
+  /// Number of consecutive questions without a reply, by placement owner.
   std::map<std::string, int> unanswered_;
   std::map<PlacedKey, Placed> placed_;
 };
--- a/include/citronlane/relay/fleet_view.h
+++ b/include/citronlane/relay/fleet_view.h
@@ -18,8 +18,9 @@
 
 namespace citronlane {
 
-/// What a gateway knows of the fleet: the configuration in force, the backend
-/// servers and the other gateways, each with its age. Pure. Not thread safe.
+/// A gateway's view of the fleet: the configuration in force, the backend
+/// servers, the other gateways and the owners of pool partitions. It stores
+/// what it is given and sends nothing. Pure: no I/O, no clock. Not thread safe.
 class FleetView {
  public:
   struct Gateway {
@@ -28,65 +29,70 @@
     bool stopping_ = false;
   };
 
-  /// Takes a configuration of a higher version than the one held. Returns
-  /// whether it did.
+  /// Takes a configuration with a higher version than the present one. Returns
+  /// whether it was taken.
   bool SetConfig(std::shared_ptr<const ServingConfig> config);
-  /// Takes a list that was read at `read`, unless a newer one is held. Of each
-  /// server the latest start counts.
+  /// Takes a server list that was read at `read`, unless the present one was
+  /// read later. Of each server the current incarnation is kept.
   void SetServers(std::vector<BackendServer> servers, TimePoint read);
-  /// Servers of these failure domains take no new work, whatever the list says.
+  /// Marks servers of these failure domains as taking no new work, whatever the
+  /// list says.
   void SetDrained(DrainedDomains::Names domains);
-  /// The list held was read again at `read` and is the same.
+  /// The present list was read again at `read` and is unchanged.
   void ConfirmServers(TimePoint read);
   void SetGateways(std::vector<Gateway> gateways);
-  /// Takes the owners of parts, unless newer ones are held.
+  /// Takes the owners of the partitions if `number` is higher than the present
+  /// one's.
   void SetOwners(uint64_t number, PoolAssignment::Owners owners);
 
-  /// Null until the first one came.
+  /// Null before the first configuration.
   const std::shared_ptr<const ServingConfig>& config() const { return config_; }
-  /// Servers of a service, leaving ones included.
+  /// Servers of a service, leaving ones included. Valid until the list changes.
   std::vector<const BackendServer*> ServersOf(std::string_view service) const;
-  /// Those of them that are in this part.
-  std::vector<const BackendServer*> ServersIn(const PoolPart& part) const;
-  /// Parts that control has divided the service's pool into, or, as long as it
-  /// has named no owners at all, what it would divide it into by this view's
+  /// Servers of a service that are in the partition, leaving ones included.
+  std::vector<const BackendServer*> ServersIn(const PoolPart& partition) const;
+  /// Partitions of the service's pool as control has divided it or, while
+  /// control has named no owners at all, as it would divide it by this view's
   /// list. Never empty.
-  std::vector<PoolPart> PartsOf(const std::string& service) const;
-  bool HasPart(const PoolPart& part) const;
-  /// Whether work that waits in a part at this gateway belongs elsewhere: it is
-  /// no part any more, or one of a failure domain that has another gateway. A
-  /// whole pool may be with a successor that nobody has named yet.
-  bool IsElsewhere(const PoolPart& part, const std::string& endpoint) const;
-  /// Whether the service's pool has parts of failure domains.
+  std::vector<PoolPart> PartitionsOf(const std::string& service) const;
+  bool HasPartition(const PoolPart& partition) const;
+  /// Whether work that waits in a partition at the gateway `endpoint` belongs
+  /// elsewhere: the partition no longer exists, or it is one of a failure
+  /// domain and has another owner. An undivided pool may be at a successor that
+  /// control has not named yet.
+  bool BelongsElsewhere(const PoolPart& partition,
+                        const std::string& endpoint) const;
+  /// Whether the service's pool has partitions of failure domains.
   bool IsDivided(const std::string& service) const;
-  /// The part that holds the service's servers of a failure domain.
-  PoolPart PartIn(const std::string& service,
-                  const std::string& failure_domain) const;
+  /// The partition that contains the service's servers of a failure domain.
+  PoolPart PartitionIn(const std::string& service,
+                       const std::string& failure_domain) const;
   const BackendServer* FindServer(std::string_view id) const;
   const ServerStarts& starts() const { return starts_; }
-  /// The server at "IP:port"; null when there is none.
+  /// Server at the address "IP:port"; null when there is none.
   const BackendServer* ServerAt(std::string_view address) const;
-  /// Failure domain of the server at "IP:port"; empty when there is none.
+  /// Failure domain of the server at the address "IP:port"; empty when there is
+  /// none.
   std::string DomainAt(std::string_view address) const;
-  /// Rises with each change of the list.
+  /// Rises with each change of the servers.
   uint64_t servers_number() const { return servers_number_; }
-  /// Rises whenever ServersIn may have changed.
-  uint64_t parts_number() const { return parts_number_; }
-  /// Age of the list; nothing until one was read.
+  /// Rises whenever the result of ServersIn() may have changed.
+  uint64_t partitions_number() const { return partitions_number_; }
+  /// Time since the list was read; nothing before the first one.
   std::optional<Duration> ServersAge(TimePoint now) const;
   const std::vector<Gateway>& gateways() const { return gateways_; }
   uint64_t owners_number() const { return owners_number_; }
   const PoolAssignment::Owners& owners() const { return owners_; }
-  /// How many gateways share what all may use: at least those known, and never
-  /// fewer than were known lately.
+  /// Number of gateways that share fleet-wide limits: the largest number known
+  /// since construction, or an assumed one before the first list.
   size_t GatewayCount() const;
 
  private:
   void UseServers();
-  void UpdateParts();
+  void UpdatePartitions();
 
   std::shared_ptr<const ServingConfig> config_;
-  /// As the list says.
+  /// Servers as in the list, without drained domains applied.
   std::vector<BackendServer> listed_;
   DrainedDomains::Names drained_;
   std::vector<BackendServer> servers_;
@@ -96,12 +102,13 @@
   std::optional<TimePoint> servers_read_;
   uint64_t servers_number_ = 0;
   std::vector<Gateway> gateways_;
-  size_t most_gateways_ = 0;
+  size_t max_gateway_count_ = 0;
   uint64_t owners_number_ = 0;
   PoolAssignment::Owners owners_;
-  /// By service; one that is not named here has a whole pool.
-  std::map<std::string, std::vector<PoolPart>> parts_;
-  uint64_t parts_number_ = 0;
+  /// Partitions by service; a service that is missing here has an undivided
+  /// pool.
+  std::map<std::string, std::vector<PoolPart>> partitions_;
+  uint64_t partitions_number_ = 0;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/relay/forwarded_headers.h
+++ b/include/citronlane/relay/forwarded_headers.h
@@ -8,8 +8,8 @@
 
 namespace citronlane {
 
-/// Headers without those that concern one connection only or that are written
-/// anew with each message: framing, connection, host. Thread safe.
+/// Returns the headers without those that concern a single connection or that
+/// are written anew for each message (framing, connection, host). Thread safe.
 std::vector<HttpHeader> ForwardedHeaders(absl::Span<const HttpHeader> headers);
 
 }  // namespace citronlane
--- a/include/citronlane/relay/gateway_host.h
+++ b/include/citronlane/relay/gateway_host.h
@@ -13,15 +13,16 @@
 class EventLog;
 struct Dialect;
 
-/// A gateway of a self-forming fleet: takes callers' requests, follows the
-/// control VM that leads, and runs its share of the stage pools. One thread:
-/// the VM has a part of one core.
+/// A gateway of a self-forming fleet: serves callers' requests, follows the
+/// leader of the control VMs and runs the pool partitions that it owns. It
+/// decides nothing for the fleet; control does. Single-threaded, since its VM
+/// has a fraction of one core.
 class GatewayHost {
  public:
-  /// Reads the settings file anew; nothing when it can't be read now.
+  /// Reads the settings file again; nothing when it cannot be read now.
   using SettingsHook = std::function<std::optional<NodeSettings>()>;
 
-  /// `dialect` and `log` outlive the host.
+  /// `dialect` and `log` must outlive the host.
   GatewayHost(NodeSettings settings,
               SettingsHook read_settings,
               const Dialect* dialect,
@@ -30,8 +31,9 @@
   GatewayHost(const GatewayHost&) = delete;
   GatewayHost& operator=(const GatewayHost&) = delete;
 
-  /// Serves until a stop signal came and everything in hand is answered, or the
-  /// grace is nearly over. False with the reason when it could not start.
+  /// Serves until a stop signal came and all requests in flight are answered,
+  /// or until the grace period is nearly over. Returns false with the reason in
+  /// `error` when it could not start. Call once.
   bool Run(Error* error);
 
  private:
--- a/include/citronlane/relay/owner_table.h
+++ b/include/citronlane/relay/owner_table.h
@@ -12,34 +12,36 @@
 
 class FleetView;
 
-/// Which gateway decides for a part of a service's pool: the one that control
-/// named. While that one can't be reached, work goes to another part; nobody
-/// else takes over its servers. Only a pool that is not divided, or for which
-/// nobody is named yet, has a successor that all gateways reckon alike. Pure.
-/// Not thread safe.
+/// Finds the owner of a partition of a service's pool: the gateway that control
+/// named. While it is unreachable, work goes to another partition; no gateway
+/// takes over its servers. Only an undivided pool, or a partition without a
+/// named owner, has a successor, which all gateways compute alike. Pure: no
+/// I/O, no clock. Not thread safe.
 class OwnerTable {
  public:
-  /// `view` outlives the object; `own_endpoint` names this gateway.
+  /// `view` must outlive the object; `own_endpoint` is this gateway's.
   OwnerTable(const FleetView* view, std::string own_endpoint);
 
-  /// This gateway when there is no other.
-  std::string OwnerOf(const PoolPart& part, TimePoint now) const;
-  /// The part that takes the service's work: the one of `failure_domain`, or
-  /// another one that can be reached when that one can't or there is none.
-  /// `spread` says which: different values spread over all of them.
-  PoolPart PartFor(const std::string& service,
-                   const std::string& failure_domain,
-                   uint64_t spread,
-                   TimePoint now) const;
-  /// Whether the part's owner was found lost a moment ago.
-  bool IsOut(const PoolPart& part, TimePoint now) const;
-  /// The gateway can't be reached: it is passed over for a while.
+  /// Endpoint of the partition's owner or its successor; this gateway's when no
+  /// other is known.
+  std::string OwnerOf(const PoolPart& partition, TimePoint now) const;
+  /// Partition that takes the service's work: the one of `failure_domain`, or
+  /// another one with a reachable owner if that owner is unreachable or there
+  /// is no such partition. `spread` selects among the others; different values
+  /// distribute over all of them.
+  PoolPart PartitionFor(const std::string& service,
+                        const std::string& failure_domain,
+                        uint64_t spread,
+                        TimePoint now) const;
+  /// Whether the partition's named owner was marked as lost recently.
+  bool IsOwnerLost(const PoolPart& partition, TimePoint now) const;
+  /// The gateway is unreachable: excludes it for a while.
   void MarkLost(const std::string& endpoint, TimePoint now);
 
   const std::string& own_endpoint() const { return own_endpoint_; }
 
  private:
-  bool IsPassedOver(const std::string& endpoint, TimePoint now) const;
+  bool IsExcluded(const std::string& endpoint, TimePoint now) const;
 
   const FleetView* const view_;
   const std::string own_endpoint_;
--- a/include/citronlane/relay/placed_engine.h
+++ b/include/citronlane/relay/placed_engine.h
@@ -17,53 +17,55 @@
 class Waker;
 struct Service;
 
-/// One request's place on an engine that another gateway chose: asks for it,
-/// and tells that gateway what becomes of it. On the event loop's thread, in
-/// the request's handler.
+/// The engine that a placement owner at another gateway assigns to one request:
+/// requests it and reports the call's progress to that gateway. Used on the
+/// event loop's thread, in the request's handler.
 class PlacedEngine {
  public:
-  /// `placement` outlives the object.
+  /// `placement` must outlive the object.
   PlacedEngine(EnginePlacement* placement, std::shared_ptr<Waker> waker);
-  /// As Forget.
+  /// Calls Cancel().
   ~PlacedEngine();
   PlacedEngine(const PlacedEngine&) = delete;
   PlacedEngine& operator=(const PlacedEngine&) = delete;
 
-  /// An attempt begins, or the plan of one, on an engine of `failure_domain`
-  /// where the service's engines are divided by it: looks up who places such
-  /// requests, which then holds until the next call.
+  /// Begins an attempt, or the planning of one, on an engine of
+  /// `failure_domain` if the service's engines are divided by it. Looks up the
+  /// placement owner, which stays the same until the next call.
   void Begin(const Service& service, const std::string& failure_domain);
-  /// Whether this gateway places them. False before Begin, and for services
-  /// without engines, whose requests nobody places.
-  bool is_here() const { return is_here_; }
-  /// Whether another gateway places them.
-  bool is_elsewhere() const { return is_elsewhere_; }
-  /// The part whose requests they are. Precondition: either of the above.
-  const PoolPart& part() const { return part_; }
-  /// The request goes to an engine that nobody placed it on.
-  void Leave() { is_here_ = is_elsewhere_ = false; }
+  /// Whether this gateway is the placement owner. False before Begin() and for
+  /// services without engines.
+  bool is_placed_here() const { return is_placed_here_; }
+  /// Whether another gateway is the placement owner.
+  bool is_placed_elsewhere() const { return is_placed_elsewhere_; }
+  /// Partition that contains the engine. Precondition: is_placed_here() or
+  /// is_placed_elsewhere().
+  const PoolPart& partition() const { return partition_; }
+  /// The request goes to an engine that no placement owner assigned.
+  void Detach() { is_placed_here_ = is_placed_elsewhere_ = false; }
 
-  /// Suspends the handler until the gateway that places them names an engine
-  /// that is not in `excluded`. Empty when there is none or no answer.
-  /// Preconditions: is_elsewhere(), nothing suspended the handler since Begin,
-  /// and the engine asked for before is forgotten or ended.
-  std::string Ask(EnginePlacement::Purpose purpose,
-                  const EngineRouter::Call& call,
-                  absl::Span<const std::string> excluded);
-  /// The request does not go to the engine. This and the next two do nothing
-  /// when no engine was asked for.
-  void Forget();
+  /// Suspends the handler until the placement owner names an engine that is not
+  /// in `excluded`, and returns its id. Empty when there is none or no reply
+  /// came in time. Preconditions: is_placed_elsewhere(), the handler was not
+  /// suspended since Begin(), and a previous engine was ended by Cancel() or
+  /// NoteEnd().
+  std::string RequestEngine(EnginePlacement::Purpose purpose,
+                            const EngineRouter::Call& call,
+                            absl::Span<const std::string> excluded);
+  /// The request does not go to the engine. Like the next two functions, it
+  /// does nothing when no engine was requested.
+  void Cancel();
   /// The engine has read the request.
   void NoteFirstEvent();
-  /// The call to the engine is over.
+  /// The call to the engine ended.
   void NoteEnd(CallOutcome outcome);
 
  private:
   EnginePlacement* const placement_;
   const std::shared_ptr<Waker> waker_;
-  PoolPart part_;
-  bool is_here_ = false;
-  bool is_elsewhere_ = false;
+  PoolPart partition_;
+  bool is_placed_here_ = false;
+  bool is_placed_elsewhere_ = false;
   std::optional<uint64_t> question_;
 };
 
--- a/include/citronlane/relay/pool_part_codec.h
+++ b/include/citronlane/relay/pool_part_codec.h
@@ -5,17 +5,17 @@
 
 namespace citronlane {
 
-/// The part that a message between gateways is for. Thread safe.
+/// Reads the partition that a message between gateways refers to. Thread safe.
 template <typename Message>
-PoolPart PartNamedBy(const Message& message) {
+PoolPart DecodePartition(const Message& message) {
   return {message.service(), message.part_domain()};
 }
 
-/// Writes it. Thread safe.
+/// Writes the partition into such a message. Thread safe.
 template <typename Message>
-void NamePart(const PoolPart& part, Message* message) {
-  message->set_service(part.service_);
-  message->set_part_domain(part.failure_domain_);
+void EncodePartition(const PoolPart& partition, Message* message) {
+  message->set_service(partition.service_);
+  message->set_part_domain(partition.failure_domain_);
 }
 
 }  // namespace citronlane
--- a/include/citronlane/relay/relay_answers.h
+++ b/include/citronlane/relay/relay_answers.h
@@ -9,13 +9,14 @@
 
 namespace citronlane {
 
-/// A backend server's answer as the caller gets it, without its body. Thread
-/// safe, as is the other.
-HttpReply AnswerOf(int status, absl::Span<const HttpHeader> headers);
+/// The response to the caller for a backend server's reply, without its body.
+/// Thread safe.
+HttpReply ResponseOf(int status, absl::Span<const HttpHeader> headers);
 
-/// The gateway's own answer to a request that it does not serve. A status that
-/// promises that nothing has run is given only with that verdict; it says when
-/// to come back.
+/// The gateway's own response to a request that it does not serve. A status
+/// that promises that nothing has run is used only with Verdict::kNotRun and
+/// then comes with a Retry-After header; other verdicts get another status
+/// instead. Thread safe.
 HttpReply RefusalReply(RefusalReason reason, Verdict verdict);
 
 }  // namespace citronlane
--- a/include/citronlane/relay/relay_context.h
+++ b/include/citronlane/relay/relay_context.h
@@ -21,8 +21,8 @@
 class StageOwners;
 struct Dialect;
 
-/// What the requests of one gateway share. Everything outlives the requests;
-/// used on the event loop's thread.
+/// Objects shared by the requests of one gateway. All outlive the requests and
+/// are used on the event loop's thread.
 struct RelayContext {
   boost::asio::io_context* io_ = nullptr;
   const Dialect* dialect_ = nullptr;
@@ -32,10 +32,10 @@
   EnginePlacement* engines_ = nullptr;
   EventLog* log_ = nullptr;
   Metrics* metrics_ = nullptr;
-  /// Router and budget of a service; made when first asked for.
+  /// Router and repeat budget of a service, created on first use.
   std::function<ServiceRouter*(const Service& service)> router_;
   std::function<RepeatBudget*(const std::string& service)> budget_;
-  /// Returns a number below its argument, which is at least 1.
+  /// Returns a random number below its argument, which must be at least 1.
   std::function<uint64_t(uint64_t)> random_;
 };
 
--- a/include/citronlane/relay/relay_job.h
+++ b/include/citronlane/relay/relay_job.h
@@ -12,8 +12,8 @@
 
 namespace citronlane {
 
-/// A request that may be served: what it asks for and under which rules. It
-/// keeps the configuration it began with.
+/// An admitted request: what it asks for and the rules under which it is
+/// served. It keeps the configuration with which it began.
 struct RelayJob {
   std::shared_ptr<const ServingConfig> config_;
   const Route* route_ = nullptr;
@@ -22,11 +22,11 @@
   std::string account_;
   uint32_t priority_ = 0;
   TimePoint arrived_;
-  /// When its answer should begin.
+  /// When its response should begin.
   TimePoint target_;
-  /// When its caller gives up unless the answer has begun.
+  /// When the caller gives up unless the response has begun.
   TimePoint begin_deadline_;
-  /// When its caller, or its route, gives up.
+  /// When the caller or the route's timeout ends the request.
   TimePoint deadline_;
 };
 
--- a/include/citronlane/relay/relay_request.h
+++ b/include/citronlane/relay/relay_request.h
@@ -28,12 +28,13 @@
 struct HttpRequest;
 struct RelayContext;
 
-/// Serves one request: runs its stages, calls a backend server, repeats where
-/// the route's kind allows it, and answers the caller exactly once. Lives in
+/// Serves one request: runs its stages, calls a backend server, retries where
+/// the route's kind allows it, and responds to the caller exactly once. It
+/// neither admits requests nor finds their routes; see RelayService. Lives in
 /// the handler of its connection.
 class RelayRequest {
  public:
-  /// All outlive the object.
+  /// All must outlive the object.
   RelayRequest(const RelayContext* context,
                const RelayJob* job,
                const HttpRequest* request,
@@ -42,54 +43,54 @@
   RelayRequest(const RelayRequest&) = delete;
   RelayRequest& operator=(const RelayRequest&) = delete;
 
-  /// Returns once the caller has its answer or is gone.
+  /// Returns once the caller has its response or is gone. Suspends the handler.
   void Run();
 
-  /// The process ends soon: gives the caller a final answer now. `job` is the
-  /// request's own.
+  /// The process ends soon: makes Run() send a final response now. `job` must
+  /// be the request's own.
   void GiveUp(RelayJob* job);
 
  private:
-  /// How one attempt ended.
+  /// How an attempt ended.
   enum class Step {
-    /// The caller has its answer, or nothing can be answered any more.
+    /// The response was sent, or none can be sent any more.
     kAnswered,
-    /// Nothing reached a server that ran it: another one may be tried.
+    /// No server ran it: another one may be tried.
     kNotRun,
     /// The server may have run it.
     kMayHaveRun,
-    /// The server has lost the results of the stages: they must be made anew.
+    /// The server has lost the results of the stages: they must be made again.
     kInputsGone,
   };
-  struct Ended {
+  struct AttemptResult {
     Step step_ = Step::kAnswered;
-    /// For the log.
-    std::string_view why_;
+    /// For the log and the metrics.
+    std::string_view reason_;
   };
 
-  bool MayBeInTime();
-  /// By what the pools said when its stages were announced.
+  bool CanFinishInTime();
+  /// Whether the expected time of the announced stages meets the target.
   bool MeetsTarget() const;
   void TryOtherDomain();
   bool RunStages();
   void RunAttempts();
-  /// Chooses a server; null when there is none.
+  /// Chooses a server; null when there is none. Suspends the handler.
   const BackendServer* Choose();
   std::string PlannedDomain();
-  std::string PromptHome();
+  std::string PreferredPromptDomain();
   std::string EngineDomain();
   void NoteStart(const std::string& server);
   void NoteFirstEvent();
   void NoteEnd(const std::string& server, CallOutcome outcome, Duration took);
-  Ended RunAttempt(const BackendServer& server);
-  Ended Relay(ServerAttempt* attempt);
-  Ended RelayWhole(ServerAttempt* attempt);
-  Ended RelayStream(ServerAttempt* attempt);
+  AttemptResult RunAttempt(const BackendServer& server);
+  AttemptResult Relay(ServerAttempt* attempt);
+  AttemptResult RelayBuffered(ServerAttempt* attempt);
+  AttemptResult RelayStream(ServerAttempt* attempt);
   void FreeInputs();
-  bool PassOn(const std::string& events, const ServerAttempt& attempt);
-  Ended AfterFailure(const ServerAttempt& attempt) const;
-  /// Whether, after an attempt that ended so, another one may be made.
-  bool MayGoOn(const Ended& ended);
+  bool ForwardEvents(const std::string& events, const ServerAttempt& attempt);
+  AttemptResult AfterFailure(const ServerAttempt& attempt) const;
+  /// Whether another attempt may follow one that ended with `ended`.
+  bool MayRetry(const AttemptResult& ended);
   std::optional<Duration> StallLimit() const;
   Duration FirstReplyLimit() const;
 
@@ -116,21 +117,22 @@
   /// Tokens that the engine has still to read for it.
   double unread_ = 0;
   std::string near_domain_;
-  /// Where divided pools make its stages; empty while none is.
-  std::string home_domain_;
+  /// Failure domain in which divided pools run its stages; empty when no pool
+  /// is divided.
+  std::string stage_domain_;
   Verdict verdict_ = Verdict::kNotRun;
-  /// Servers that may have run it, and calls that were refused.
+  /// Servers that may have run it, and calls that servers refused.
   uint32_t runs_ = 0;
   uint32_t refusals_ = 0;
   bool has_called_ = false;
-  uint32_t remakes_ = 0;
+  uint32_t stage_reruns_ = 0;
   bool stream_started_ = false;
   bool had_first_event_ = false;
   bool inputs_freed_ = false;
   bool finished_ = false;
   Duration expected_{};
-  Duration stages_took_{};
-  Duration first_event_after_{};
+  Duration stages_time_{};
+  Duration first_event_time_{};
   std::string_view last_failure_ = "";
   std::string last_server_;
 };
--- a/include/citronlane/relay/relay_service.h
+++ b/include/citronlane/relay/relay_service.h
@@ -21,34 +21,35 @@
 struct HttpRequest;
 struct RelayContext;
 
-/// Takes callers' requests on a gateway: finds route and client account, and
-/// serves what the configuration allows. Runs in the connections' handlers, on
-/// the event loop's thread.
+/// Serves callers' requests on a gateway: finds the route and the client
+/// account, admits what the configuration allows and hands it to RelayRequest.
+/// Used in the connections' handlers, on the event loop's thread.
 class RelayService {
  public:
-  /// `context` outlives the object. At most `most_requests` are served at the
-  /// same time: each takes memory.
-  RelayService(const RelayContext* context, size_t most_requests);
+  /// `context` must outlive the object. At most `max_requests` are served at
+  /// the same time, since each takes memory.
+  RelayService(const RelayContext* context, size_t max_requests);
 
-  /// Answers one request.
+  /// Responds to one request. Suspends the handler.
   void Serve(const HttpRequest& request, HttpExchange* exchange);
 
-  /// The process ends at `deadline`: no request is taken that takes longer.
+  /// The process ends at `deadline`, which bounds the deadlines of requests
+  /// from now on.
   void SetStopDeadline(TimePoint deadline) { stop_deadline_ = deadline; }
-  /// The gateway has its first configuration, or its first list of servers.
-  void ViewArrived();
-  /// Gives every caller in hand a final answer now. A connection that closes
-  /// without one leaves its caller not knowing what happened.
+  /// The gateway received its first configuration or its first server list.
+  void OnViewReady();
+  /// Sends a final response to every request in flight. A connection closed
+  /// without one would leave its caller without a verdict.
   void GiveUpAll();
 
-  size_t requests_in_hand() const { return in_hand_.size(); }
+  size_t requests_in_flight() const { return in_flight_.size(); }
 
  private:
   bool Await(const std::function<bool()>& condition,
              TimePoint arrived,
              const HttpRequest& request,
              HttpExchange* exchange);
-  /// Fills `job`; a reason when the request is not to be served.
+  /// Fills `job`. Returns a reason when the request is refused.
   std::optional<RefusalReason> Admit(const HttpRequest& request,
                                      RelayJob* job) const;
   void Refuse(const RelayJob& job,
@@ -56,9 +57,9 @@
               HttpExchange* exchange) const;
 
   const RelayContext* const context_;
-  const size_t most_requests_;
+  const size_t max_requests_;
   TimePoint stop_deadline_ = TimePoint::max();
-  std::map<RelayRequest*, RelayJob*> in_hand_;
+  std::map<RelayRequest*, RelayJob*> in_flight_;
   std::set<std::shared_ptr<Waker>> awaiting_view_;
 };
 
--- a/include/citronlane/relay/server_attempt.h
+++ b/include/citronlane/relay/server_attempt.h
@@ -18,24 +18,24 @@
 class Waker;
 struct RelayContext;
 
-/// One call of a request to one backend server. Its reply gathers here until
-/// the handler takes it. Used by the request's handler.
+/// One call of a request to one backend server. Buffers the reply until the
+/// handler takes it. Used by the request's handler.
 class ServerAttempt {
  public:
-  /// What is called for whom.
+  /// Names for matching and logging the reply.
   struct Names {
-    /// What the reply must echo.
+    /// The reply must repeat it.
     std::string request_id_;
     std::string service_;
     std::string server_;
   };
 
-  /// Starts the call. `context` outlives the attempt.
+  /// Starts the call. `context` must outlive the attempt.
   ServerAttempt(const RelayContext* context,
                 const std::shared_ptr<Waker>& waker,
                 StageCallSpec spec,
                 Names names);
-  /// Cancels the call if it is under way.
+  /// Cancels the call if it is in progress.
   ~ServerAttempt();
   ServerAttempt(const ServerAttempt&) = delete;
   ServerAttempt& operator=(const ServerAttempt&) = delete;
@@ -44,24 +44,24 @@
 
   /// Whether bytes of the call were handed to a socket.
   bool was_sent() const;
-  /// The reply's head is there.
+  /// Whether the reply's head has arrived.
   bool has_head() const;
-  /// The reply is whole, or the call failed.
+  /// Whether the reply is complete or the call failed.
   bool is_done() const;
   /// Precondition: is_done().
   CallOutcome outcome() const;
 
-  /// Precondition for these: has_head().
+  /// Precondition of these three: has_head().
   int status() const;
   const std::vector<HttpHeader>& headers() const;
   const ServerReplyHead& reply() const;
 
-  /// Bytes of the body that came in and were not taken yet.
+  /// Returns the bytes of the body that arrived since the last call.
   std::string TakeData();
   bool has_data() const;
 
  private:
-  // What the hooks fill in; outlives the attempt.
+  // Filled by the call's hooks; outlives the attempt.
   struct State;
 
   std::shared_ptr<State> state_;
--- a/include/citronlane/relay/service_router.h
+++ b/include/citronlane/relay/service_router.h
@@ -18,8 +18,8 @@
 
 class FleetView;
 
-/// Chooses servers of one service: model engines by what they have read, other
-/// servers by their expected finish. Not thread safe.
+/// Chooses servers of one service: model engines by the prompts that they hold,
+/// other servers by their expected finish. Not thread safe.
 class ServiceRouter {
  public:
   using RandomHook = PoolRouter::RandomHook;
@@ -38,10 +38,10 @@
   std::optional<std::string> Choose(TimePoint now,
                                     const EngineRouter::Call& call,
                                     absl::Span<const std::string> excluded);
-  /// Failure domain of the engine that the call would probably go to; empty
-  /// for other services.
+  /// Failure domain of the engine that the call would probably go to; empty for
+  /// services without engines.
   std::string HomeDomain(TimePoint now, const EngineRouter::Call& call);
-  /// See EngineRouter; other servers read nothing.
+  /// See EngineRouter; these do nothing for other servers' prompts.
   void Expect(std::string_view server,
               TimePoint now,
               const EngineRouter::Call& call);
--- a/include/citronlane/relay/stage_pool.h
+++ b/include/citronlane/relay/stage_pool.h
@@ -28,15 +28,15 @@
 struct Dialect;
 struct StageReplyHead;
 
-/// Runs one part of a stage pool for all gateways: forms the calls to its
-/// servers and makes them. On the event loop's thread.
+/// Runs one partition of a stage pool for all gateways: forms the calls to its
+/// servers and makes them. Used on the event loop's thread.
 class StagePool {
  public:
   using Done = std::function<void(const StageOutcome& outcome)>;
   using InputsTaken = std::function<void()>;
 
-  /// The pointers outlive the pool.
-  StagePool(PoolPart part,
+  /// `view`, `dialect`, `client` and `log` must outlive the pool.
+  StagePool(PoolPart partition,
             const StagePoolSpec& spec,
             const RepeatBudget::Options& budget,
             const FleetView* view,
@@ -49,15 +49,17 @@
 
   /// Call once, before the first task.
   void Begin(TimePoint now);
-  /// Starts a task; `done` is called once, later, unless it is cancelled, and
-  /// `inputs_taken` before it when servers have fetched what it works on.
+  /// Starts a task and returns its number. `done` is called once, unless the
+  /// task is cancelled, possibly before this returns; `inputs_taken` before it,
+  /// once servers have fetched the task's inputs.
   uint64_t Submit(StageTask task, Done done, InputsTaken inputs_taken);
-  /// Returns whether no piece of it was handed to a server.
+  /// Returns whether no piece of the task was handed to a server.
   bool Cancel(uint64_t task);
   void Free(absl::Span<const std::string> handles);
-  /// This gateway is going: tasks of which nothing was sent end as moved.
+  /// This gateway no longer owns the partition: tasks of which nothing was sent
+  /// end as moved.
   void HandBackWaiting();
-  /// Call every 50 ms or so, and when servers or the declaration changed.
+  /// Call about every 50 ms, and when the servers or the configuration changed.
   void Tick(TimePoint now);
 
   /// See StageBatcher.
@@ -65,17 +67,17 @@
     return batcher_.Announce(forecast);
   }
   void Withdraw(uint64_t announcement) { batcher_.Withdraw(announcement); }
-  /// Nothing before the first list of servers: without one no wait is known.
+  /// Nothing before the first server list, since no wait can be estimated then.
   std::optional<StageWait> ExpectedWait(const StageForecast& forecast,
                                         TimePoint now) const;
   size_t tasks() const { return batcher_.tasks(); }
 
  private:
-  /// What a server says to a call.
+  /// A server's reply to a call.
   struct Reply {
     int status_ = 0;
     bool not_run_ = false;
-    /// Nothing when the body can't be read, with the reason.
+    /// Nothing when the body cannot be read; `error_` has the reason.
     std::optional<std::vector<StagePieceResult>> results_;
     Error error_;
   };
@@ -88,15 +90,15 @@
                      const StageReplyHead& head,
                      const Reply& reply);
   void TakeReply(uint64_t call, const std::string& server, const Reply& reply);
-  void LogUnmade(uint64_t call,
-                 const std::string& server,
-                 const std::vector<StagePieceResult>& results);
+  void LogIncompletePieces(uint64_t call,
+                           const std::string& server,
+                           const std::vector<StagePieceResult>& results);
   void TakeFailure(uint64_t call,
                    const std::string& server,
                    CallOutcome outcome);
   void SendUnwanted(TimePoint now);
 
-  const PoolPart part_;
+  const PoolPart partition_;
   const std::string name_;
   const FleetView* const view_;
   const Dialect* const dialect_;
@@ -105,7 +107,7 @@
   RepeatBudget budget_;
   StageBatcher batcher_;
   StageReplyCheck reply_check_;
-  uint64_t parts_number_ = 0;
+  uint64_t partitions_number_ = 0;
   uint64_t config_version_ = 0;
   struct Waiting {
     Done done_;
--- a/include/citronlane/relay/stage_task_codec.h
+++ b/include/citronlane/relay/stage_task_codec.h
@@ -18,8 +18,9 @@
 class StagePoolWait;
 }  // namespace wire::fleet
 
-/// Instants travel as times left, since clocks of two VMs differ. Thread safe,
-/// as are the others.
+/// Conversions between stage types and messages. Points in time are sent as
+/// times left, since the clocks of two VMs differ. All functions are thread
+/// safe.
 void EncodeTask(const StageTask& task,
                 TimePoint now,
                 wire::fleet::StageJob* out);
@@ -34,7 +35,8 @@
 void EncodeWait(const StageWait& wait, wire::fleet::StagePoolWait* out);
 StageWait DecodeWait(const wire::fleet::StagePoolWait& in);
 
-/// Name of a result on the wire, and back; an unknown one counts as failed.
+/// Name of a result on the wire, and the reverse; an unknown name is read as
+/// kFailed.
 const char* ToString(StageOutcome::Result result);
 StageOutcome::Result StageResultOf(const std::string& name);
 
--- a/include/citronlane/relay/waker.h
+++ b/include/citronlane/relay/waker.h
@@ -13,21 +13,21 @@
 
 class HttpExchange;
 
-/// Suspends a request's handler until something happens. Hooks of calls hold it
-/// and may outlive the handler. On the event loop's thread.
+/// Suspends a request's handler until an event occurs. The hooks of calls hold
+/// it and may outlive the handler. Used on the event loop's thread.
 class Waker : public std::enable_shared_from_this<Waker> {
  public:
   Waker(boost::asio::io_context* io, HttpExchange* exchange);
 
-  /// Wakes the handler, if it is still there.
+  /// Wakes the handler unless it is detached.
   void Wake();
-  /// Time is over: wakes the handler, and every wait ends from now on.
+  /// Wakes the handler; every wait ends at once from now on.
   void Expire();
-  /// The handler returns: nothing wakes it any more.
+  /// Call when the handler returns: nothing wakes it any more.
   void Detach();
 
-  /// Suspends until `ready` is true, the caller is gone or `until` has come.
-  /// Returns whether `ready` is true.
+  /// Suspends until `ready` returns true, the caller is gone or `until` is
+  /// reached. Returns the final value of `ready`. Precondition: not detached.
   bool WaitUntil(const std::function<bool()>& ready, TimePoint until);
 
   bool caller_gone() const;
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -124,13 +124,13 @@
         "unit-stages: replies to a pool's calls"]),
     ("MIXED: stage results reach the request that asked, through any owner", [
         "unit-stage-owners: results of a stage task reach the request that "
-        "asked",
+        "submitted it",
         "unit-stage-owners: one owner serves the tasks of many gateways",
-        "unit-stage-owners: a stage task whose owner goes"]),
+        "unit-stage-owners: a stage task whose owner is lost"]),
     ("one gateway owns a stage pool, by the highest number", [
         "unit-stage-owners: the owner of a stage pool",
         "unit-stage-owners: announcements of stage tasks",
-        "unit-stage-owners: results that an owner is told to free"]),
+        "unit-stage-owners: results that an owner is requested to free"]),
     ("UNASKED: nothing runs that no caller asked for, unchanged", [
         PLATFORM + "RequestTest.test_headers",
         PLATFORM + "SmugglingTest.test_both_framings",
@@ -148,7 +148,7 @@
         PLATFORM + "RequestTest.test_refused_everywhere_is_told_so",
         PLATFORM + "StartAgainTest.test_lost_stage_calls_may_have_run",
         "unit-relay: a refusal promises only what is true",
-        "unit-stage-owners: of what a lost owner had nobody says that it has "
+        "unit-stage-owners: tasks that a lost owner had are never reported as "
         "not run",
         "unit-stages: stage failures"]),
     ("ROUTE, DENIED: routes and keys as configured", [
@@ -171,7 +171,7 @@
         "start",
         "unit-server-starts: incarnations of backend servers",
         "unit-platform: platform servers that start again",
-        "unit-relay: an engine that starts again has no past",
+        "unit-relay: a restarted engine has no history",
         "unit-stages: stage failures"]),
     ("an entry of another writer names no server; the others hold", [
         "unit-platform: platform server entries of another writer"]),
--- a/src/relay/config_receiver.cc
+++ b/src/relay/config_receiver.cc
@@ -23,7 +23,7 @@
     base = document_;
   }
   auto document = DecodeDocument(update.data(), base, error);
-  // Either the data is damaged or the base has other content than control's.
+  // Either the data is damaged, or the base's content differs from control's.
   if (!document) {
     version_.reset();
     document_.clear();
--- a/src/relay/control_watch.cc
+++ b/src/relay/control_watch.cc
@@ -17,14 +17,14 @@
 using wire::fleet::Frame;
 using wire::fleet::WatchUpdate;
 
-/// Control VMs speak every 200 ms.
-constexpr Duration kSilence = std::chrono::milliseconds(800);
-/// One that has no power answers nothing, not even the connection; others
-/// answer within a few milliseconds. Each further try gets half as long again,
-/// up to kSilence.
-constexpr Duration kFirstAnswer = std::chrono::milliseconds(120);
-/// Pause before a VM that ended the connection is asked again.
-constexpr Duration kRetryPause = std::chrono::milliseconds(60);
+/// Control VMs send an update every 200 ms.
+constexpr Duration kSilenceTimeout = std::chrono::milliseconds(800);
+/// A VM without power does not even answer the connection attempt; others reply
+/// within a few milliseconds. Each further attempt waits half as long again, up
+/// to kSilenceTimeout.
+constexpr Duration kFirstReplyTimeout = std::chrono::milliseconds(120);
+/// Delay before reconnecting to a VM that ended the connection.
+constexpr Duration kReconnectDelay = std::chrono::milliseconds(60);
 
 }  // namespace
 
@@ -50,13 +50,13 @@
   stopping_ = true;
   if (const auto leader = candidates_.find(leader_);
       leader != candidates_.end() && leader->second.link_) {
-    Ask(leader->second.link_.get());
+    SendWatchRequest(leader->second.link_.get());
   }
 }
 
-// All of them until one leads: asked one after the other, each VM without power
-// would cost the time in which it might still answer.
-std::set<std::string> ControlWatch::Wanted() const {
+// All known VMs while there is no leader: contacted one after the other, each
+// VM without power would delay the search for its timeout.
+std::set<std::string> ControlWatch::EndpointsToWatch() const {
   if (!leader_.empty()) {
     return {leader_};
   }
@@ -78,7 +78,7 @@
       ConfirmConfig(&candidate);
     }
   }
-  const std::set<std::string> wanted = Wanted();
+  const std::set<std::string> wanted = EndpointsToWatch();
   for (auto it = candidates_.begin(); it != candidates_.end();) {
     it = wanted.count(it->first) == 0 ? candidates_.erase(it) : std::next(it);
   }
@@ -94,26 +94,28 @@
                               Candidate* candidate,
                               TimePoint now) {
   if (candidate->is_lost_) {
-    Leave(endpoint, candidate, "the connection ended", now);
+    Disconnect(endpoint, candidate, "the connection ended", now);
     return;
   }
-  const bool has_answered = candidate->heard_ >= candidate->asked_;
-  const Duration patience =
-      has_answered
-          ? kSilence
-          : std::clamp(candidate->first_patience_, kFirstAnswer, kSilence);
-  const TimePoint last = std::max({candidate->asked_, candidate->heard_,
-                                   candidate->link_->last_received()});
-  if (now - last >= patience) {
-    candidate->first_patience_ = has_answered ? kFirstAnswer : patience * 3 / 2;
-    Leave(endpoint, candidate, "it is silent", now);
+  const bool has_replied = candidate->last_update_ >= candidate->requested_;
+  const Duration timeout =
+      has_replied ? kSilenceTimeout
+                  : std::clamp(candidate->first_reply_timeout_,
+                               kFirstReplyTimeout, kSilenceTimeout);
+  const TimePoint last =
+      std::max({candidate->requested_, candidate->last_update_,
+                candidate->link_->last_received()});
+  if (now - last >= timeout) {
+    candidate->first_reply_timeout_ =
+        has_replied ? kFirstReplyTimeout : timeout * 3 / 2;
+    Disconnect(endpoint, candidate, "it is silent", now);
   }
 }
 
-void ControlWatch::Leave(const std::string& endpoint,
-                         Candidate* candidate,
-                         const std::string& reason,
-                         TimePoint now) {
+void ControlWatch::Disconnect(const std::string& endpoint,
+                              Candidate* candidate,
+                              const std::string& reason,
+                              TimePoint now) {
   if (endpoint == leader_) {
     leader_.clear();
     log_->Write("watch", "control lost",
@@ -122,7 +124,7 @@
   candidate->link_.reset();
   candidate->confirm_at_.reset();
   candidate->is_lost_ = false;
-  candidate->next_connect_ = now + kRetryPause;
+  candidate->next_connect_ = now + kReconnectDelay;
 }
 
 void ControlWatch::Connect(const std::string& endpoint,
@@ -130,15 +132,15 @@
                            TimePoint now) {
   FrameLink::Hooks hooks;
   hooks.received_ = [this, endpoint](Frame* frame) { Take(endpoint, frame); };
-  // Left at the next tick: the link is at work now.
+  // Closed at the next tick, because the link is running now.
   hooks.lost_ = [candidate](FrameLink::Loss) { candidate->is_lost_ = true; };
-  candidate->asked_ = now;
+  candidate->requested_ = now;
   candidate->link_ =
       std::make_unique<FrameLink>(io_, endpoint, std::move(hooks));
-  Ask(candidate->link_.get());
+  SendWatchRequest(candidate->link_.get());
 }
 
-void ControlWatch::Ask(FrameLink* link) {
+void ControlWatch::SendWatchRequest(FrameLink* link) {
   Frame frame;
   auto* watch = frame.mutable_watch();
   watch->set_gateway(options_.own_endpoint_);
@@ -159,15 +161,16 @@
     return;
   }
   Candidate& candidate = candidates_.at(endpoint);
-  candidate.heard_ = SteadyNow();
-  candidate.first_patience_ = kFirstAnswer;
+  candidate.last_update_ = SteadyNow();
+  candidate.first_reply_timeout_ = kFirstReplyTimeout;
   const bool has_config = frame->update().has_config();
-  const TimePoint begun = candidate.heard_;
+  const TimePoint begun = candidate.last_update_;
   TakeUpdate(endpoint, frame->mutable_update());
   if (!has_config) {
     return;
   }
-  // Whether it was of use or not: control sends the next one only then.
+  // Acknowledged whether it was applied or not: control sends the next one only
+  // then.
   const TimePoint now = SteadyNow();
   candidate.confirm_at_ = now + PauseAfterUpdate(now - begun);
   if (now >= *candidate.confirm_at_) {
@@ -188,7 +191,7 @@
 void ControlWatch::TakeUpdate(const std::string& endpoint,
                               WatchUpdate* update) {
   if (!leader_.empty() && endpoint != leader_) {
-    // On its way before the leader was found.
+    // Sent before the leader was found.
     return;
   }
   if (update->members_size() > 0) {
--- a/src/relay/engine_placement.cc
+++ b/src/relay/engine_placement.cc
@@ -22,11 +22,11 @@
 using wire::fleet::EngineEnd;
 using wire::fleet::Frame;
 
-/// Questions in a row that a gateway may leave unanswered, for want of the
-/// processor, before it counts as lost.
-constexpr int kMostUnanswered = 3;
+/// Consecutive questions that a gateway may leave unanswered, for lack of
+/// processor time, before it counts as lost.
+constexpr int kMaxUnanswered = 3;
 
-// How an engine's part in a call went, as far as its next calls are concerned.
+// Outcome of a call as far as it matters for the engine's next calls.
 CallOutcome OutcomeOf(EngineEnd::Outcome outcome) {
   switch (outcome) {
     case EngineEnd::OUTCOME_SUCCESS:
@@ -68,37 +68,37 @@
 
 EnginePlacement::~EnginePlacement() = default;
 
-std::optional<PoolPart> EnginePlacement::PartIn(
+std::optional<PoolPart> EnginePlacement::PartitionIn(
     const std::string& service,
     const std::string& failure_domain) const {
-  PoolPart part = view_->PartIn(service, failure_domain);
-  const bool is_placed =
-      !view_->IsDivided(service) ||
-      (view_->HasPart(part) && !owners_.IsOut(part, SteadyNow()));
-  return is_placed ? std::optional(std::move(part)) : std::nullopt;
+  PoolPart partition = view_->PartitionIn(service, failure_domain);
+  const bool is_placed = !view_->IsDivided(service) ||
+                         (view_->HasPartition(partition) &&
+                          !owners_.IsOwnerLost(partition, SteadyNow()));
+  return is_placed ? std::optional(std::move(partition)) : std::nullopt;
 }
 
-bool EnginePlacement::IsHere(const PoolPart& part) const {
-  return owners_.OwnerOf(part, SteadyNow()) == owners_.own_endpoint();
+bool EnginePlacement::IsPlacementOwner(const PoolPart& partition) const {
+  return owners_.OwnerOf(partition, SteadyNow()) == owners_.own_endpoint();
 }
 
-uint64_t EnginePlacement::Ask(Purpose purpose,
-                              const PoolPart& part,
-                              const EngineRouter::Call& call,
-                              absl::Span<const std::string> excluded,
-                              Answered answered) {
-  const std::string owner = owners_.OwnerOf(part, SteadyNow());
+uint64_t EnginePlacement::RequestEngine(Purpose purpose,
+                                        const PoolPart& partition,
+                                        const EngineRouter::Call& call,
+                                        absl::Span<const std::string> excluded,
+                                        ReplyHook replied) {
+  const std::string owner = owners_.OwnerOf(partition, SteadyNow());
   const uint64_t number = ++last_question_;
-  questions_[number] = Question{owner, std::move(answered)};
+  questions_[number] = Question{owner, std::move(replied)};
   Frame frame;
   auto* ask = frame.mutable_engine_ask();
   ask->set_question(number);
-  NamePart(part, ask);
+  EncodePartition(partition, ask);
   ask->set_plan(purpose == Purpose::kPlan);
-  for (const PromptPart& prompt : call.prompt_) {
+  for (const PromptPart& segment : call.prompt_) {
     auto* added = ask->add_prompt();
-    added->set_id(prompt.id_);
-    added->set_tokens(prompt.tokens_);
+    added->set_id(segment.id_);
+    added->set_tokens(segment.tokens_);
   }
   ask->set_near(std::string(call.near_));
   ask->set_input_bytes(call.input_bytes_);
@@ -109,18 +109,18 @@
   return number;
 }
 
-void EnginePlacement::NoAnswer(uint64_t question) {
+void EnginePlacement::ReportNoReply(uint64_t question) {
   const auto it = questions_.find(question);
   if (it == questions_.end() || it->second.owner_.empty()) {
     return;
   }
   const std::string owner = it->second.owner_;
-  if (++unanswered_[owner] >= kMostUnanswered) {
+  if (++unanswered_[owner] >= kMaxUnanswered) {
     OwnerLost(owner);
   }
 }
 
-void EnginePlacement::FirstEvent(uint64_t question) {
+void EnginePlacement::ReportFirstEvent(uint64_t question) {
   const auto it = questions_.find(question);
   if (it == questions_.end() || it->second.owner_.empty()) {
     return;
@@ -130,7 +130,7 @@
   LinkTo(it->second.owner_)->Send(frame);
 }
 
-void EnginePlacement::Finished(uint64_t question, CallOutcome outcome) {
+void EnginePlacement::ReportFinished(uint64_t question, CallOutcome outcome) {
   const auto it = questions_.find(question);
   if (it == questions_.end()) {
     return;
@@ -158,10 +158,10 @@
       const auto it = questions_.find(frame->engine_answer().question());
       unanswered_.erase(endpoint);
       if (it != questions_.end()) {
-        it->second.answered_(frame->engine_answer().server());
+        it->second.replied_(frame->engine_answer().server());
       }
     };
-    // Not at once: the link may be lost within Send.
+    // Deferred, since the link may be lost within Send().
     hooks.lost_ = [this, endpoint](FrameLink::Loss) {
       boost::asio::post(*io_, [this, endpoint] { OwnerLost(endpoint); });
     };
@@ -170,7 +170,7 @@
   return link.get();
 }
 
-// It knows nothing any more of what it was asked on the connection.
+// The owner has lost all state of the questions asked on that connection.
 void EnginePlacement::OwnerLost(const std::string& owner) {
   owners_.MarkLost(owner, SteadyNow());
   unanswered_.erase(owner);
@@ -191,7 +191,7 @@
 bool EnginePlacement::Take(const std::shared_ptr<FrameChannel>& channel,
                            const Frame& frame) {
   if (frame.has_engine_ask()) {
-    Answer(channel, frame.engine_ask());
+    ReplyTo(channel, frame.engine_ask());
   } else if (frame.has_engine_first_event()) {
     TakeFirstEvent({channel.get(), frame.engine_first_event().question()});
   } else if (frame.has_engine_end()) {
@@ -203,15 +203,15 @@
   return true;
 }
 
-void EnginePlacement::Answer(const std::shared_ptr<FrameChannel>& channel,
-                             const EngineAsk& ask) {
+void EnginePlacement::ReplyTo(const std::shared_ptr<FrameChannel>& channel,
+                              const EngineAsk& ask) {
   ServiceRouter* router = router_(ask.service());
   if (router == nullptr) {
     return;
   }
   std::vector<PromptPart> prompt;
-  for (const auto& part : ask.prompt()) {
-    prompt.push_back({part.id(), part.tokens()});
+  for (const auto& segment : ask.prompt()) {
+    prompt.push_back({segment.id(), segment.tokens()});
   }
   EngineRouter::Call call;
   call.prompt_ = prompt;
@@ -260,7 +260,7 @@
   }
 }
 
-// Its requests may still run, but nobody will say how they end.
+// The gateway's requests may still run, but their ends will not be reported.
 void EnginePlacement::Closed(const FrameChannel* channel) {
   for (auto it = placed_.lower_bound({channel, 0});
        it != placed_.end() && it->first.first == channel;) {
--- a/src/relay/fleet_view.cc
+++ b/src/relay/fleet_view.cc
@@ -10,8 +10,8 @@
 namespace citronlane {
 namespace {
 
-/// Until the others are known, as many gateways as small deployments have.
-constexpr size_t kUnknownGateways = 10;
+/// Gateways in a small deployment; assumed until the first list of gateways.
+constexpr size_t kDefaultGatewayCount = 10;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
     return false;
   }
   config_ = std::move(config);
-  UpdateParts();
+  UpdatePartitions();
   return true;
 }
 
@@ -51,21 +51,21 @@
     by_id_[servers_[i].id_] = i;
     by_address_[servers_[i].address_] = i;
   }
-  UpdateParts();
+  UpdatePartitions();
 }
 
-void FleetView::UpdateParts() {
-  ++parts_number_;
-  std::vector<PoolPart> parts;
-  for (const auto& [part, owner] : owners_) {
-    parts.push_back(part);
+void FleetView::UpdatePartitions() {
+  ++partitions_number_;
+  std::vector<PoolPart> partitions;
+  for (const auto& [partition, owner] : owners_) {
+    partitions.push_back(partition);
   }
-  if (parts.empty() && config_) {
-    parts = DividePools(PooledServicesOf(*config_), servers_, owners_);
+  if (partitions.empty() && config_) {
+    partitions = DividePools(PooledServicesOf(*config_), servers_, owners_);
   }
-  parts_.clear();
-  for (PoolPart& part : parts) {
-    parts_[part.service_].push_back(std::move(part));
+  partitions_.clear();
+  for (PoolPart& partition : partitions) {
+    partitions_[partition.service_].push_back(std::move(partition));
   }
 }
 
@@ -77,14 +77,14 @@
 
 void FleetView::SetGateways(std::vector<Gateway> gateways) {
   gateways_ = std::move(gateways);
-  most_gateways_ = std::max(most_gateways_, gateways_.size());
+  max_gateway_count_ = std::max(max_gateway_count_, gateways_.size());
 }
 
 void FleetView::SetOwners(uint64_t number, PoolAssignment::Owners owners) {
   if (number > owners_number_) {
     owners_number_ = number;
     owners_ = std::move(owners);
-    UpdateParts();
+    UpdatePartitions();
   }
 }
 
@@ -100,49 +100,52 @@
 }
 
 std::vector<const BackendServer*> FleetView::ServersIn(
-    const PoolPart& part) const {
+    const PoolPart& partition) const {
   std::vector<const BackendServer*> servers;
-  for (const BackendServer* server : ServersOf(part.service_)) {
-    if (PartIn(part.service_, server->failure_domain_) == part) {
+  for (const BackendServer* server : ServersOf(partition.service_)) {
+    if (PartitionIn(partition.service_, server->failure_domain_) == partition) {
       servers.push_back(server);
     }
   }
   return servers;
 }
 
-std::vector<PoolPart> FleetView::PartsOf(const std::string& service) const {
-  const auto parts = parts_.find(service);
-  return parts == parts_.end() ? std::vector<PoolPart>{service} : parts->second;
+std::vector<PoolPart> FleetView::PartitionsOf(
+    const std::string& service) const {
+  const auto partitions = partitions_.find(service);
+  return partitions == partitions_.end() ? std::vector<PoolPart>{service}
+                                         : partitions->second;
 }
 
-bool FleetView::HasPart(const PoolPart& part) const {
-  const auto parts = parts_.find(part.service_);
-  return parts == parts_.end()
-             ? !part.IsDomainPartition()
-             : std::find(parts->second.begin(), parts->second.end(), part) !=
-                   parts->second.end();
+bool FleetView::HasPartition(const PoolPart& partition) const {
+  const auto partitions = partitions_.find(partition.service_);
+  return partitions == partitions_.end()
+             ? !partition.IsDomainPartition()
+             : std::find(partitions->second.begin(), partitions->second.end(),
+                         partition) != partitions->second.end();
 }
 
-bool FleetView::IsElsewhere(const PoolPart& part,
-                            const std::string& endpoint) const {
-  const auto owner = owners_.find(part);
-  const bool has_other = part.IsDomainPartition() && owner != owners_.end() &&
-                         owner->second != endpoint;
-  return !HasPart(part) || has_other;
+bool FleetView::BelongsElsewhere(const PoolPart& partition,
+                                 const std::string& endpoint) const {
+  const auto owner = owners_.find(partition);
+  const bool has_other = partition.IsDomainPartition() &&
+                         owner != owners_.end() && owner->second != endpoint;
+  return !HasPartition(partition) || has_other;
 }
 
 bool FleetView::IsDivided(const std::string& service) const {
-  const auto parts = parts_.find(service);
-  return parts != parts_.end() &&
-         std::any_of(
-             parts->second.begin(), parts->second.end(),
-             [](const PoolPart& part) { return part.IsDomainPartition(); });
+  const auto partitions = partitions_.find(service);
+  return partitions != partitions_.end() &&
+         std::any_of(partitions->second.begin(), partitions->second.end(),
+                     [](const PoolPart& partition) {
+                       return partition.IsDomainPartition();
+                     });
 }
 
-PoolPart FleetView::PartIn(const std::string& service,
-                           const std::string& failure_domain) const {
-  PoolPart part(service, failure_domain);
-  return HasPart(part) ? part : PoolPart(service);
+PoolPart FleetView::PartitionIn(const std::string& service,
+                                const std::string& failure_domain) const {
+  PoolPart partition(service, failure_domain);
+  return HasPartition(partition) ? partition : PoolPart(service);
 }
 
 const BackendServer* FleetView::FindServer(std::string_view id) const {
@@ -165,7 +168,7 @@
 }
 
 size_t FleetView::GatewayCount() const {
-  return most_gateways_ == 0 ? kUnknownGateways : most_gateways_;
+  return max_gateway_count_ == 0 ? kDefaultGatewayCount : max_gateway_count_;
 }
 
 }  // namespace citronlane
--- a/src/relay/gateway_host.cc
+++ b/src/relay/gateway_host.cc
@@ -33,25 +33,28 @@
 
 using wire::fleet::WatchUpdate;
 
-/// How finely owners' silence, late stage calls and the watch are noticed.
-constexpr Duration kTick = std::chrono::milliseconds(50);
-/// The file may change without a signal; reading it is cheap.
+/// Resolution at which silent owners, late stage calls and the watch are
+/// checked.
+constexpr Duration kTickInterval = std::chrono::milliseconds(50);
+/// Interval of reading the settings file, which may change without a signal.
 constexpr Duration kSettingsInterval = std::chrono::seconds(2);
-/// After a stop signal callers still come until the balancer has noticed.
-constexpr Duration kBalancerTime = std::chrono::milliseconds(2600);
-/// The process is gone this long before it would be killed.
+/// How long callers still arrive after a stop signal, until the load balancer
+/// has noticed.
+constexpr Duration kBalancerDrainTime = std::chrono::milliseconds(2600);
+/// The process exits this long before it would be killed.
 constexpr Duration kGraceReserve = std::chrono::milliseconds(400);
-/// What is in hand then gets a final answer.
+/// Requests in flight get a final response this long before the kill.
 constexpr Duration kGiveUpReserve = std::chrono::milliseconds(1000);
-/// A request in hand takes two stacks and its body; this many a megabyte fit
-/// beside the rest.
+/// Requests in flight per megabyte of memory: each takes two stacks and its
+/// body.
 constexpr size_t kRequestsPerMegabyte = 3;
-/// Descriptors that callers may take: each request needs one to a server too.
-constexpr double kCallerDescriptors = 0.55;
-/// What a body may take beyond its head: the largest over a slow link.
+/// Fraction of descriptors for callers: each request also needs one to a
+/// server.
+constexpr double kCallerDescriptorFraction = 0.55;
+/// Time for a body after its head: the largest body over a slow link.
 constexpr Duration kBodyTime = std::chrono::seconds(10);
-/// Bytes of bodies held at once, as a part of memory.
-constexpr uint64_t kBodyMemoryPart = 4;
+/// Memory divided by the bytes of bodies held at the same time.
+constexpr uint64_t kBodyMemoryDivisor = 4;
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
@@ -61,9 +64,10 @@
   limits.header_bytes_ = static_cast<uint32_t>(callers.header_bytes_);
   limits.body_bytes_ = callers.body_bytes_;
   limits.total_body_bytes_ =
-      (uint64_t{settings.memory_mb_} << 20) / kBodyMemoryPart;
-  limits.connections_ = static_cast<size_t>(
-      static_cast<double>(settings.max_descriptors_) * kCallerDescriptors);
+      (uint64_t{settings.memory_mb_} << 20) / kBodyMemoryDivisor;
+  limits.connections_ =
+      static_cast<size_t>(static_cast<double>(settings.max_descriptors_) *
+                          kCallerDescriptorFraction);
   limits.read_timeout_ = callers.header_time_ + kBodyTime;
   limits.idle_timeout_ = callers.idle_time_;
   return limits;
@@ -71,10 +75,10 @@
 
 StageLimits ServerLimits() {
   StageLimits limits;
-  // A stream's length is bounded by its deadline alone.
+  // A stream's length is limited by its deadline alone.
   limits.reply_body_bytes_ = uint64_t{1} << 30;
   limits.read_timeout_ = std::chrono::seconds(30);
-  // Servers bound the connections of all gateways together.
+  // Servers limit the connections of all gateways together.
   limits.idle_connections_ = 4;
   // Shorter than servers usually keep idle connections.
   limits.idle_timeout_ = std::chrono::seconds(4);
@@ -100,7 +104,7 @@
               settings_.internal_listen_,
               &view_,
               log,
-              [this](const PoolPart& part) { return PoolOf(part); }),
+              [this](const PoolPart& partition) { return PoolOf(partition); }),
       engines_(&io_,
                &view_,
                settings_.internal_listen_,
@@ -191,9 +195,9 @@
   HttpListenerHooks hooks;
   hooks.serve_ = [this](size_t, const HttpRequest&, HttpExchange* exchange) {
     metrics_.Set(kRequestsInFlight, {},
-                 static_cast<double>(relay_.requests_in_hand()));
-    for (const auto& [part, pool] : pools_) {
-      metrics_.Set(kPoolTasks, {part.Name()},
+                 static_cast<double>(relay_.requests_in_flight()));
+    for (const auto& [partition, pool] : pools_) {
+      metrics_.Set(kPoolTasks, {partition.Name()},
                    static_cast<double>(pool->tasks()));
     }
     metrics_.Set(kReady, {}, IsReady() ? 1 : 0);
@@ -248,7 +252,8 @@
   }
   const ProcessSignals signals(
       &io_, ProcessSignals::Hooks{[this] { Stop(); }, [this] { Reload(); }});
-  const RepeatingTimer tick(&io_, kTick, [this](TimePoint now) { Tick(now); });
+  const RepeatingTimer tick(&io_, kTickInterval,
+                            [this](TimePoint now) { Tick(now); });
   const RepeatingTimer reload(&io_, kSettingsInterval,
                               [this](TimePoint) { Reload(); });
   log_->Write("gateway", "started",
@@ -257,7 +262,7 @@
                {"failure_domain", settings_.failure_domain_}});
   io_.run();
   log_->Write("gateway", "stopped",
-              {{"in_hand", static_cast<uint64_t>(relay_.requests_in_hand())},
+              {{"in_hand", static_cast<uint64_t>(relay_.requests_in_flight())},
                {"log_lines_dropped", log_->dropped()}});
   return true;
 }
@@ -265,7 +270,7 @@
 void GatewayHost::Impl::Tick(TimePoint now) {
   watch_.Tick(now);
   owners_.Tick(now);
-  for (const auto& [part, pool] : pools_) {
+  for (const auto& [partition, pool] : pools_) {
     pool->Tick(now);
   }
   HandBackMovedPools(now);
@@ -278,15 +283,17 @@
 void GatewayHost::Impl::Stop() {
   stopping_ = true;
   stop_began_ = SteadyNow();
-  log_->Write("gateway", "stopping",
-              {{"in_hand", static_cast<uint64_t>(relay_.requests_in_hand())}});
+  log_->Write(
+      "gateway", "stopping",
+      {{"in_hand", static_cast<uint64_t>(relay_.requests_in_flight())}});
   relay_.SetStopDeadline(stop_began_ + settings_.grace_ - kGiveUpReserve);
   callers_.CloseAfterReplies();
   watch_.SetStopping();
-  // The others know in a moment that this gateway runs no pools any more.
-  const auto timer = std::make_shared<boost::asio::steady_timer>(io_, kTold);
+  // By then the other gateways know that this one no longer owns pools.
+  const auto timer =
+      std::make_shared<boost::asio::steady_timer>(io_, kPropagationTime);
   timer->async_wait([this, timer](const boost::system::error_code&) {
-    for (const auto& [part, pool] : pools_) {
+    for (const auto& [partition, pool] : pools_) {
       pool->HandBackWaiting();
     }
   });
@@ -294,7 +301,7 @@
 
 void GatewayHost::Impl::TickStop(TimePoint now) {
   const Duration passed = now - stop_began_;
-  if (accepting_ && passed >= kBalancerTime) {
+  if (accepting_ && passed >= kBalancerDrainTime) {
     accepting_ = false;
     callers_.StopAccepting();
   }
@@ -302,7 +309,7 @@
     relay_.GiveUpAll();
   }
   const bool is_idle =
-      relay_.requests_in_hand() == 0 && owners_.served_jobs() == 0;
+      relay_.requests_in_flight() == 0 && owners_.served_jobs() == 0;
   if ((!accepting_ && is_idle) || passed >= settings_.grace_ - kGraceReserve) {
     io_.stop();
   }
--- a/src/relay/gateway_host_feed.cc
+++ b/src/relay/gateway_host_feed.cc
@@ -20,11 +20,12 @@
 
 /// A list that control has not confirmed for this long is read here, well
 /// before a leaving server must be known.
-constexpr Duration kStaleList = std::chrono::milliseconds(1300);
-/// Least pause between two reads of the list by one gateway.
-constexpr Duration kListPause = std::chrono::milliseconds(700);
-/// Part of the list's rate that the gateways use together when control is away.
-constexpr double kListRatePart = 0.5;
+constexpr Duration kStaleListAge = std::chrono::milliseconds(1300);
+/// Minimum delay between two reads of the list by one gateway.
+constexpr Duration kMinListReadDelay = std::chrono::milliseconds(700);
+/// Fraction of the list's call rate that all gateways use together while
+/// control is unreachable.
+constexpr double kGatewayListRateFraction = 0.5;
 
 }  // namespace
 
@@ -68,9 +69,9 @@
     return;
   }
   std::string own;
-  for (const auto& [part, owner] : view_.owners()) {
+  for (const auto& [partition, owner] : view_.owners()) {
     if (owner == settings_.internal_listen_) {
-      own += (own.empty() ? "" : " ") + part.Name();
+      own += (own.empty() ? "" : " ") + partition.Name();
     }
   }
   log_->Write("gateway", "owners changed",
@@ -92,7 +93,8 @@
   std::vector<std::string> faults;
   auto config = dialect_->read_config_(received_config_.document(), &faults);
   if (!config) {
-    // Control takes no such document; it speaks another version of ours.
+    // Control rejects such a document, so it runs another version of the
+    // software.
     log_->Write("gateway", "config not readable",
                 {{"faults", static_cast<uint64_t>(faults.size())}});
     return;
@@ -100,7 +102,7 @@
   const uint64_t version = config->version();
   if (view_.SetConfig(std::move(config))) {
     ApplyLimits();
-    relay_.ViewArrived();
+    relay_.OnViewReady();
     log_->Write("gateway", "config in force",
                 {{"version", version},
                  {"base", update.base_version()},
@@ -144,13 +146,13 @@
 }
 
 void GatewayHost::Impl::ServersChanged() {
-  relay_.ViewArrived();
-  for (const auto& [part, pool] : pools_) {
+  relay_.OnViewReady();
+  for (const auto& [partition, pool] : pools_) {
     pool->Tick(SteadyNow());
   }
 }
 
-// A line and a count when it changes: the list is read twice a second.
+// Logged and counted on change only: the list is read twice a second.
 void GatewayHost::Impl::NoteUnusable(size_t unusable) {
   if (unusable == unusable_servers_) {
     return;
@@ -164,10 +166,11 @@
               {{"entries", static_cast<uint64_t>(unusable)}});
 }
 
-// The rate is shared: the more gateways and pages, the longer the pause.
+// Gateways share the call rate: the delay grows with their number and the
+// list's pages.
 void GatewayHost::Impl::ReadStaleList(TimePoint now) {
   const auto age = view_.ServersAge(now);
-  const bool is_stale = !age || *age >= kStaleList;
+  const bool is_stale = !age || *age >= kStaleListAge;
   if (is_stale != list_is_stale_) {
     list_is_stale_ = is_stale;
     log_->Write("gateway",
@@ -180,9 +183,9 @@
   const double calls = static_cast<double>(view_.GatewayCount()) *
                        static_cast<double>(list_reader_.pages());
   const std::chrono::duration<double> pause(
-      calls / (settings_.server_list_rate_ * kListRatePart));
-  next_list_read_ =
-      now + std::max(kListPause, std::chrono::duration_cast<Duration>(pause));
+      calls / (settings_.server_list_rate_ * kGatewayListRateFraction));
+  next_list_read_ = now + std::max(kMinListReadDelay,
+                                   std::chrono::duration_cast<Duration>(pause));
   list_reader_.Read(
       [this, now](std::optional<std::vector<BackendServer>> servers,
                   const Error&) {
--- a/src/relay/gateway_host_pools.cc
+++ b/src/relay/gateway_host_pools.cc
@@ -37,17 +37,17 @@
   return budget.get();
 }
 
-StagePool* GatewayHost::Impl::PoolOf(const PoolPart& part) {
-  auto& pool = pools_[part];
+StagePool* GatewayHost::Impl::PoolOf(const PoolPart& partition) {
+  auto& pool = pools_[partition];
   if (!pool) {
     const auto& config = view_.config();
     const Service* declared =
-        config ? config->FindService(part.service_) : nullptr;
+        config ? config->FindService(partition.service_) : nullptr;
     if (declared == nullptr || !declared->stage_pool_) {
-      pools_.erase(part);
+      pools_.erase(partition);
       return nullptr;
     }
-    pool = std::make_unique<StagePool>(part, *declared->stage_pool_,
+    pool = std::make_unique<StagePool>(partition, *declared->stage_pool_,
                                        budget_options_, &view_, dialect_,
                                        &client_, log_);
     pool->Begin(SteadyNow());
@@ -55,19 +55,19 @@
   return pool.get();
 }
 
-// Tasks that wait in a part that has another gateway now, or is no part any
-// more, go where control says once all gateways have heard of it.
+// Hands back tasks that wait in a partition that has another owner now, or no
+// longer exists, once all gateways have received the change.
 void GatewayHost::Impl::HandBackMovedPools(TimePoint now) {
   if (owners_number_ != view_.owners_number()) {
     owners_number_ = view_.owners_number();
     owners_since_ = now;
   }
-  if (now - owners_since_ < kTold) {
+  if (now - owners_since_ < kPropagationTime) {
     return;
   }
-  for (const auto& [part, pool] : pools_) {
+  for (const auto& [partition, pool] : pools_) {
     if (pool->tasks() > 0 &&
-        view_.IsElsewhere(part, settings_.internal_listen_)) {
+        view_.BelongsElsewhere(partition, settings_.internal_listen_)) {
       pool->HandBackWaiting();
     }
   }
--- a/src/relay/owner_table.cc
+++ b/src/relay/owner_table.cc
@@ -9,68 +9,68 @@
 namespace citronlane {
 namespace {
 
-/// A gateway that can't be reached is passed over for this long; by then its
-/// going is known everywhere, also when control has a new leader.
-constexpr Duration kPassOver = std::chrono::milliseconds(3000);
+/// How long an unreachable gateway is excluded. By then its loss is known
+/// everywhere, even if control had to elect a leader.
+constexpr Duration kExclusionTime = std::chrono::milliseconds(3000);
 
 }  // namespace
 
 OwnerTable::OwnerTable(const FleetView* view, std::string own_endpoint)
     : view_(view), own_endpoint_(std::move(own_endpoint)) {}
 
-bool OwnerTable::IsPassedOver(const std::string& endpoint,
-                              TimePoint now) const {
+bool OwnerTable::IsExcluded(const std::string& endpoint, TimePoint now) const {
   const auto lost = lost_until_.find(endpoint);
   return lost != lost_until_.end() && lost->second > now;
 }
 
 void OwnerTable::MarkLost(const std::string& endpoint, TimePoint now) {
-  lost_until_[endpoint] = now + kPassOver;
+  lost_until_[endpoint] = now + kExclusionTime;
 }
 
-bool OwnerTable::IsOut(const PoolPart& part, TimePoint now) const {
-  const auto named = view_->owners().find(part);
-  return named != view_->owners().end() && IsPassedOver(named->second, now);
+bool OwnerTable::IsOwnerLost(const PoolPart& partition, TimePoint now) const {
+  const auto named = view_->owners().find(partition);
+  return named != view_->owners().end() && IsExcluded(named->second, now);
 }
 
-PoolPart OwnerTable::PartFor(const std::string& service,
-                             const std::string& failure_domain,
-                             uint64_t spread,
-                             TimePoint now) const {
-  const std::vector<PoolPart> parts = view_->PartsOf(service);
-  if (parts.size() == 1) {
-    return parts.front();
+PoolPart OwnerTable::PartitionFor(const std::string& service,
+                                  const std::string& failure_domain,
+                                  uint64_t spread,
+                                  TimePoint now) const {
+  const std::vector<PoolPart> partitions = view_->PartitionsOf(service);
+  if (partitions.size() == 1) {
+    return partitions.front();
   }
-  const PoolPart wanted = view_->PartIn(service, failure_domain);
+  const PoolPart wanted = view_->PartitionIn(service, failure_domain);
   std::vector<PoolPart> usable;
-  for (const PoolPart& part : parts) {
-    if (IsOut(part, now)) {
+  for (const PoolPart& partition : partitions) {
+    if (IsOwnerLost(partition, now)) {
       continue;
     }
-    if (part == wanted) {
-      return part;
+    if (partition == wanted) {
+      return partition;
     }
-    usable.push_back(part);
+    usable.push_back(partition);
   }
-  const std::vector<PoolPart>& from = usable.empty() ? parts : usable;
+  const std::vector<PoolPart>& from = usable.empty() ? partitions : usable;
   return from[spread % from.size()];
 }
 
-std::string OwnerTable::OwnerOf(const PoolPart& part, TimePoint now) const {
+std::string OwnerTable::OwnerOf(const PoolPart& partition,
+                                TimePoint now) const {
   const PoolAssignment::Owners& owners = view_->owners();
-  const auto named = owners.find(part);
-  if (named != owners.end() &&
-      (!IsPassedOver(named->second, now) || view_->IsDivided(part.service_))) {
+  const auto named = owners.find(partition);
+  if (named != owners.end() && (!IsExcluded(named->second, now) ||
+                                view_->IsDivided(partition.service_))) {
     return named->second;
   }
   const FleetView::Gateway* successor = nullptr;
   PoolAssignment::Order best;
   for (const FleetView::Gateway& gateway : view_->gateways()) {
-    if (IsPassedOver(gateway.endpoint_, now)) {
+    if (IsExcluded(gateway.endpoint_, now)) {
       continue;
     }
     const auto order = PoolAssignment::SuccessorOrder(
-        part, gateway.endpoint_, gateway.stopping_, owners);
+        partition, gateway.endpoint_, gateway.stopping_, owners);
     if (successor == nullptr || order > best) {
       successor = &gateway;
       best = order;
--- a/src/relay/placed_engine.cc
+++ b/src/relay/placed_engine.cc
@@ -10,9 +10,8 @@
 namespace citronlane {
 namespace {
 
-/// The gateway that places requests on engines answers within a few
-/// milliseconds.
-constexpr Duration kPlacementTime = std::chrono::milliseconds(25);
+/// A placement owner replies within a few milliseconds.
+constexpr Duration kPlacementTimeout = std::chrono::milliseconds(25);
 
 }  // namespace
 
@@ -21,55 +20,56 @@
     : placement_(placement), waker_(std::move(waker)) {}
 
 PlacedEngine::~PlacedEngine() {
-  Forget();
+  Cancel();
 }
 
 void PlacedEngine::Begin(const Service& service,
                          const std::string& failure_domain) {
-  is_here_ = false;
-  is_elsewhere_ = false;
+  is_placed_here_ = false;
+  is_placed_elsewhere_ = false;
   if (!service.engine_) {
     return;
   }
-  const auto part = placement_->PartIn(service.name_, failure_domain);
-  if (part) {
-    part_ = *part;
-    is_here_ = placement_->IsHere(part_);
-    is_elsewhere_ = !is_here_;
+  const auto partition = placement_->PartitionIn(service.name_, failure_domain);
+  if (partition) {
+    partition_ = *partition;
+    is_placed_here_ = placement_->IsPlacementOwner(partition_);
+    is_placed_elsewhere_ = !is_placed_here_;
   }
 }
 
-std::string PlacedEngine::Ask(EnginePlacement::Purpose purpose,
-                              const EngineRouter::Call& call,
-                              absl::Span<const std::string> excluded) {
+std::string PlacedEngine::RequestEngine(
+    EnginePlacement::Purpose purpose,
+    const EngineRouter::Call& call,
+    absl::Span<const std::string> excluded) {
   const auto answer = std::make_shared<std::optional<std::string>>();
-  question_ =
-      placement_->Ask(purpose, part_, call, excluded,
-                      [answer, waker = waker_](const std::string& server) {
-                        *answer = server;
-                        waker->Wake();
-                      });
+  question_ = placement_->RequestEngine(
+      purpose, partition_, call, excluded,
+      [answer, waker = waker_](const std::string& server) {
+        *answer = server;
+        waker->Wake();
+      });
   waker_->WaitUntil([&answer] { return answer->has_value(); },
-                    SteadyNow() + kPlacementTime);
+                    SteadyNow() + kPlacementTimeout);
   if (!*answer && !waker_->caller_gone()) {
-    placement_->NoAnswer(*question_);
+    placement_->ReportNoReply(*question_);
   }
   return answer->value_or(std::string());
 }
 
-void PlacedEngine::Forget() {
+void PlacedEngine::Cancel() {
   NoteEnd(CallOutcome::kCancelled);
 }
 
 void PlacedEngine::NoteFirstEvent() {
   if (question_) {
-    placement_->FirstEvent(*question_);
+    placement_->ReportFirstEvent(*question_);
   }
 }
 
 void PlacedEngine::NoteEnd(CallOutcome outcome) {
   if (question_) {
-    placement_->Finished(*question_, outcome);
+    placement_->ReportFinished(*question_, outcome);
     question_.reset();
   }
 }
--- a/src/relay/relay_answers.cc
+++ b/src/relay/relay_answers.cc
@@ -13,17 +13,17 @@
 constexpr int kBadGateway = 502;
 constexpr int kUnavailable = 503;
 
-// Seconds until a refused caller should come back.
+// Seconds after which a refused caller should retry.
 const char* RetryAfter(RefusalReason reason) {
   switch (reason) {
     case RefusalReason::kNoConfiguration:
-      // Control VMs that all restart have a leader after about this time.
+      // Control VMs that all restart have elected a leader by about this time.
       return "1.4";
     case RefusalReason::kDeadlineUnreachable:
-      // A part of a burst is over by then.
+      // Part of a burst has been served by then.
       return "1";
     default:
-      // Another server is found, or one that failed is passed over.
+      // By then another server is found, or a failed one excluded.
       return "0.4";
   }
 }
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-HttpReply AnswerOf(int status, absl::Span<const HttpHeader> headers) {
+HttpReply ResponseOf(int status, absl::Span<const HttpHeader> headers) {
   HttpReply reply;
   reply.status_ = status;
   reply.content_type_.clear();
--- a/src/relay/relay_request.cc
+++ b/src/relay/relay_request.cc
@@ -22,21 +22,21 @@
 namespace citronlane {
 namespace {
 
-/// Refused calls are no runs, but each is an arrival at a server.
-constexpr uint32_t kMostRefusals = 2;
-/// Stages whose results were lost are made anew once.
-constexpr uint32_t kMostRemakes = 1;
-/// Urgency that engines honour: 0 is first, 9 last.
+/// Calls that servers refused did not run, but each takes a server's time.
+constexpr uint32_t kMaxRefusals = 2;
+/// Stages whose results were lost are run again once.
+constexpr uint32_t kMaxStageReruns = 1;
+/// Urgency for engines: 0 is first, 9 is last.
 constexpr uint32_t kFirstUrgency = 1;
 constexpr uint32_t kUrgencyPerPriority = 2;
 constexpr uint32_t kLateUrgency = 2;
 constexpr uint32_t kLastUrgency = 9;
-/// Part of a caller's patience up to which a late answer is attempted; the rest
-/// covers what the estimate does not know.
-constexpr double kUsedPatience = 0.45;
-/// What an estimate is multiplied by before a request counts as one that can
-/// meet its target: queues of later stages are still to grow in a burst.
-constexpr double kEstimateReserve = 1.1;
+/// Fraction of the caller's remaining time within which a late response is
+/// attempted; the rest covers errors of the estimate.
+constexpr double kLateResponseFraction = 0.45;
+/// Factor applied to an estimate before it is compared with the target: in a
+/// burst the queues of later stages are still growing.
+constexpr double kEstimateFactor = 1.1;
 constexpr int kFirstServerError = 500;
 
 }  // namespace
@@ -55,7 +55,7 @@
       events_(job->head_.last_event_) {}
 
 RelayRequest::~RelayRequest() {
-  engine_.Forget();
+  engine_.Cancel();
   waker_->Detach();
 }
 
@@ -64,7 +64,7 @@
   router_ = context_->router_(*service_);
   budget_ = context_->budget_(service_->name_);
   budget_->OnFirst(SteadyNow());
-  if (MayBeInTime() && RunStages()) {
+  if (CanFinishInTime() && RunStages()) {
     RunAttempts();
   }
   if (!finished_) {
@@ -79,16 +79,16 @@
   waker_->Expire();
 }
 
-// A request that can't be answered is refused before anything of it runs, so
-// that its caller may come back and its pieces take no places in calls.
-bool RelayRequest::MayBeInTime() {
+// Refuses a request that cannot be answered in time before any of it runs, so
+// that its caller may retry and its pieces take no capacity of calls.
+bool RelayRequest::CanFinishInTime() {
   if (!stages_.HasWork()) {
     return true;
   }
   if (stages_.IsDivided()) {
-    home_domain_ = PlannedDomain();
+    stage_domain_ = PlannedDomain();
   }
-  stages_.Announce(home_domain_);
+  stages_.Announce(stage_domain_);
   if (MeetsTarget()) {
     return true;
   }
@@ -100,11 +100,11 @@
   }
   const TimePoint now = SteadyNow();
   const Duration worst = stages_.ExpectedTime(true);
-  // Too late for its target from the start: it takes no place of one that may
-  // still meet it, all the way through its stages.
+  // Late for its target from the start: through all stages it yields to
+  // requests that may still meet theirs.
   stages_.SetLate();
   const auto limit = std::chrono::duration_cast<Duration>(
-      (job_->begin_deadline_ - now) * kUsedPatience);
+      (job_->begin_deadline_ - now) * kLateResponseFraction);
   if (worst <= limit) {
     return true;
   }
@@ -116,25 +116,25 @@
 
 bool RelayRequest::MeetsTarget() const {
   const Duration expected = stages_.ExpectedTime(false);
-  return std::chrono::duration_cast<Duration>(expected * kEstimateReserve) <=
+  return std::chrono::duration_cast<Duration>(expected * kEstimateFactor) <=
          job_->target_ - SteadyNow();
 }
 
-// One other domain, drawn anew for each request: where all went to the one
-// that was least busy a moment ago, it would be the busiest in the next.
+// Tries one other failure domain, drawn anew for each request: if all moved to
+// the least busy one, it would become the busiest.
 void RelayRequest::TryOtherDomain() {
   constexpr uint64_t kDraws = 1 << 20;
   const std::string other = stages_.OtherDomain(context_->random_(kDraws));
   if (other.empty()) {
     return;
   }
-  const std::string home =
-      std::exchange(home_domain_, stages_.CompareWith(other));
+  const std::string preferred_domain =
+      std::exchange(stage_domain_, stages_.CompareWith(other));
   context_->log_->Write("relay", "home is full",
                         {{"request", job_->head_.request_id_},
-                         {"home", home},
+                         {"home", preferred_domain},
                          {"asked", other},
-                         {"stages_in", home_domain_},
+                         {"stages_in", stage_domain_},
                          {"expected_ms", stages_.ExpectedTime(false)}});
 }
 
@@ -143,13 +143,13 @@
     return true;
   }
   inputs_freed_ = false;
-  stages_.SetResultDomain(home_domain_.empty() ? PlannedDomain()
-                                               : home_domain_);
+  stages_.SetResultDomain(stage_domain_.empty() ? PlannedDomain()
+                                                : stage_domain_);
   const StageRunner::Result result = stages_.Run();
   near_domain_ = stages_.InputDomain();
-  stages_took_ = Elapsed();
+  stages_time_ = Elapsed();
   if (!stages_.not_run()) {
-    // A stage is a part of the request: "not run" would not be true any more.
+    // A stage is part of the request, so it no longer counts as not run.
     verdict_ = RaiseVerdict(verdict_, Verdict::kMayHaveRun);
   }
   switch (result) {
@@ -181,13 +181,13 @@
       RefuseAfterFailure();
       return;
     }
-    const Ended ended = RunAttempt(*server);
+    const AttemptResult ended = RunAttempt(*server);
     if (ended.step_ == Step::kAnswered) {
       return;
     }
-    last_failure_ = ended.why_;
+    last_failure_ = ended.reason_;
     if (ended.step_ == Step::kInputsGone) {
-      if (remakes_++ >= kMostRemakes) {
+      if (stage_reruns_++ >= kMaxStageReruns) {
         RefuseAfterFailure();
         return;
       }
@@ -197,20 +197,20 @@
       tried_.clear();
       continue;
     }
-    if (!MayGoOn(ended)) {
+    if (!MayRetry(ended)) {
       RefuseAfterFailure();
       return;
     }
-    // What the stages made may be freed by now. When they can't run again, that
-    // has ended the request: a second refusal here would answer the caller's
-    // next request on its connection.
+    // The results of the stages may have been freed. When the stages cannot run
+    // again, RunStages() has ended the request; a second refusal here would be
+    // taken as the response to the next request on the connection.
     if (stages_.HasWork() && inputs_freed_ && !RunStages()) {
       return;
     }
   }
 }
 
-// By what the route declares; a request that is late already gives way.
+// From the route's priority; a request that is already late is less urgent.
 uint32_t RelayRequest::Urgency() const {
   const bool is_late = SteadyNow() > job_->target_;
   return std::min(kLastUrgency, kFirstUrgency +
@@ -218,7 +218,8 @@
                                     (is_late ? kLateUrgency : 0));
 }
 
-RelayRequest::Ended RelayRequest::RunAttempt(const BackendServer& server) {
+RelayRequest::AttemptResult RelayRequest::RunAttempt(
+    const BackendServer& server) {
   const TimePoint now = SteadyNow();
   const std::string id = server.id_;
   StageCallSpec spec = SpecFor(server.address_, request_->method_,
@@ -237,20 +238,20 @@
       ForwardedHeaders(request_->headers_), head);
   spec.body_ = request_->body_;
   spec.silence_limit_ = StallLimit();
-  // A server may drop a kept connection just as a call arrives, and then the
-  // call may have run: one that may not repeat goes on a new one. A late second
-  // reply to an earlier call of this request names the same request: later
-  // calls go where none can come.
+  // A server may close an idle connection just as a call arrives, which may
+  // then have run: a call that must not be repeated uses a new connection. A
+  // late duplicate reply to an earlier call of this request has the same
+  // request id, so later calls use connections on which none can arrive.
   spec.fresh_connection_ = !job_->route_->MayRepeat() || has_called_;
   has_called_ = true;
-  // A start of a server shares no connections with the one before it.
+  // Incarnations of a server share no connections.
   spec.connection_group_ = id;
   tried_.push_back(id);
   last_server_ = id;
   ServerAttempt attempt(context_, waker_, std::move(spec),
                         {job_->head_.request_id_, service_->name_, id});
   NoteStart(id);
-  const Ended ended = Relay(&attempt);
+  const AttemptResult ended = Relay(&attempt);
   const CallOutcome outcome = attempt.is_done()       ? attempt.outcome()
                               : waker_->caller_gone() ? CallOutcome::kCancelled
                                                       : CallOutcome::kTimeout;
@@ -266,32 +267,32 @@
   return ended;
 }
 
-bool RelayRequest::MayGoOn(const Ended& ended) {
+bool RelayRequest::MayRetry(const AttemptResult& ended) {
   const TimePoint now = SteadyNow();
   bool goes_on = false;
   if (ended.step_ == Step::kNotRun) {
-    const bool arrived = ended.why_ == "server refused";
+    const bool arrived = ended.reason_ == "server refused";
     refusals_ += arrived ? 1 : 0;
     goes_on =
-        !arrived || (refusals_ <= kMostRefusals &&
+        !arrived || (refusals_ <= kMaxRefusals &&
                      budget_->TryTake(now, context_->view_->GatewayCount()));
   } else {
     verdict_ = RaiseVerdict(verdict_, Verdict::kMayHaveRun);
     ++runs_;
     events_.DropPartial();
-    const bool paid = ended.why_ == "server error";
+    const bool paid = ended.reason_ == "server error";
     goes_on = job_->route_->MayRepeat() &&
               runs_ < job_->route_->max_attempts_ &&
               (paid || budget_->TryTake(now, context_->view_->GatewayCount()));
   }
   if (goes_on) {
-    context_->metrics_->Count(kRetriesTotal, {ended.why_, service_->name_});
+    context_->metrics_->Count(kRetriesTotal, {ended.reason_, service_->name_});
   }
   context_->log_->Write(
       "relay", goes_on ? "retry" : "gave up",
       {{"request", job_->head_.request_id_},
        {"server", last_server_},
-       {"why", ended.why_},
+       {"why", ended.reason_},
        {"verdict", ToString(verdict_)},
        {"runs", runs_},
        {"after_ms", Elapsed()},
@@ -319,10 +320,10 @@
        {"server", last_server_},
        {"tried", static_cast<uint64_t>(tried_.size())},
        {"last_failure", last_failure_},
-       {"stages_in", home_domain_},
-       {"stages_ms", stages_took_},
+       {"stages_in", stage_domain_},
+       {"stages_ms", stages_time_},
        {"stages_expected_ms", expected_},
-       {"first_event_ms", first_event_after_},
+       {"first_event_ms", first_event_time_},
        {"took_ms", Elapsed()},
        {"target_ms", job_->target_ - job_->arrived_},
        {"limit_ms", job_->deadline_ - job_->arrived_},
--- a/src/relay/relay_request_replies.cc
+++ b/src/relay/relay_request_replies.cc
@@ -18,40 +18,41 @@
 namespace citronlane {
 namespace {
 
-/// A server that answers nothing for this many times the target is taken for
-/// dead where another one may be asked.
-constexpr double kSilentTargets = 1.5;
-constexpr Duration kShortestSilence = std::chrono::milliseconds(1200);
-/// A stream that pauses this many times the declared gap goes on elsewhere.
-constexpr int kStalledGaps = 3;
-constexpr Duration kShortestStall = std::chrono::milliseconds(1000);
-/// By then a server has fetched the results that the request works on.
-constexpr Duration kFetchTime = std::chrono::milliseconds(150);
+/// A server without a reply for this multiple of the target is considered dead
+/// if another one may be tried.
+constexpr double kFirstReplyTargetRatio = 1.5;
+constexpr Duration kMinFirstReplyLimit = std::chrono::milliseconds(1200);
+/// A stream that pauses for this multiple of the declared gap is continued on
+/// another server.
+constexpr int kStallGapRatio = 3;
+constexpr Duration kMinStallLimit = std::chrono::milliseconds(1000);
+/// A server has fetched the request's inputs by then.
+constexpr Duration kInputFetchTime = std::chrono::milliseconds(150);
 constexpr int kFirstServerError = 500;
 constexpr int kOk = 200;
-constexpr int kFirstNoSuccess = 300;
+constexpr int kFirstNonSuccess = 300;
 constexpr int kConflict = 409;
 
 }  // namespace
 
-RelayRequest::Ended RelayRequest::Relay(ServerAttempt* attempt) {
+RelayRequest::AttemptResult RelayRequest::Relay(ServerAttempt* attempt) {
   const bool may_repeat =
       job_->route_->MayRepeat() && runs_ + 1 < job_->route_->max_attempts_;
-  const TimePoint patience =
+  const TimePoint reply_deadline =
       may_repeat ? std::min(job_->deadline_, SteadyNow() + FirstReplyLimit())
                  : job_->deadline_;
-  const auto is_answered = [attempt] {
+  const auto has_reply = [attempt] {
     return attempt->has_head() || attempt->is_done();
   };
   bool replied = false;
   if (stages_.HasWork() && !inputs_freed_) {
-    replied = waker_->WaitUntil(is_answered,
-                                std::min(patience, SteadyNow() + kFetchTime));
-    if (!replied && !waker_->caller_gone() && SteadyNow() < patience) {
+    replied = waker_->WaitUntil(
+        has_reply, std::min(reply_deadline, SteadyNow() + kInputFetchTime));
+    if (!replied && !waker_->caller_gone() && SteadyNow() < reply_deadline) {
       FreeInputs();
     }
   }
-  replied = replied || waker_->WaitUntil(is_answered, patience);
+  replied = replied || waker_->WaitUntil(has_reply, reply_deadline);
   if (waker_->caller_gone()) {
     return {};
   }
@@ -71,19 +72,20 @@
   }
   verdict_ = RaiseVerdict(verdict_, Verdict::kMayHaveRun);
   const bool is_success =
-      attempt->status() >= kOk && attempt->status() < kFirstNoSuccess;
+      attempt->status() >= kOk && attempt->status() < kFirstNonSuccess;
   if (is_success && !reply.sealed_) {
-    // Nobody could show later whose answer it was.
+    // Without a seal the origin of the response could not be proven.
     attempt->Cancel();
     return {Step::kMayHaveRun, "no seal"};
   }
   if (job_->route_->kind_ == RouteKind::kStreaming && is_success) {
     return RelayStream(attempt);
   }
-  return RelayWhole(attempt);
+  return RelayBuffered(attempt);
 }
 
-RelayRequest::Ended RelayRequest::RelayWhole(ServerAttempt* attempt) {
+RelayRequest::AttemptResult RelayRequest::RelayBuffered(
+    ServerAttempt* attempt) {
   const bool is_done = waker_->WaitUntil(
       [attempt] { return attempt->is_done(); }, job_->deadline_);
   if (waker_->caller_gone()) {
@@ -100,12 +102,13 @@
     return {Step::kMayHaveRun, "server error"};
   }
   if (stream_started_) {
-    // The stream broke, and its continuation was answered with a failure.
+    // The stream broke, and the server replied to its continuation with a
+    // failure.
     exchange_->Abort();
     Finish("stream broken", kOk);
     return {};
   }
-  HttpReply reply = AnswerOf(attempt->status(), attempt->headers());
+  HttpReply reply = ResponseOf(attempt->status(), attempt->headers());
   reply.body_ = attempt->TakeData();
   verdict_ = RaiseVerdict(verdict_, Verdict::kRan);
   exchange_->Reply(reply);
@@ -113,7 +116,7 @@
   return {};
 }
 
-RelayRequest::Ended RelayRequest::RelayStream(ServerAttempt* attempt) {
+RelayRequest::AttemptResult RelayRequest::RelayStream(ServerAttempt* attempt) {
   while (true) {
     const bool is_ready = waker_->WaitUntil(
         [attempt] { return attempt->has_data() || attempt->is_done(); },
@@ -125,9 +128,9 @@
       return AfterFailure(*attempt);
     }
     const bool is_done = attempt->is_done();
-    std::string whole;
-    const auto taken = events_.Feed(attempt->TakeData(), &whole);
-    if (!whole.empty() && !PassOn(whole, *attempt)) {
+    std::string complete;
+    const auto taken = events_.Feed(attempt->TakeData(), &complete);
+    if (!complete.empty() && !ForwardEvents(complete, *attempt)) {
       return {};
     }
     if (taken != EventSplitter::Taken::kGood) {
@@ -141,7 +144,7 @@
       return AfterFailure(*attempt);
     }
     if (!stream_started_) {
-      exchange_->StartStream(AnswerOf(attempt->status(), attempt->headers()));
+      exchange_->StartStream(ResponseOf(attempt->status(), attempt->headers()));
     }
     exchange_->EndStream();
     verdict_ = RaiseVerdict(verdict_, Verdict::kRan);
@@ -155,9 +158,9 @@
   stages_.FreeAll();
 }
 
-// Hands whole events to the caller; false when it is gone.
-bool RelayRequest::PassOn(const std::string& events,
-                          const ServerAttempt& attempt) {
+// Sends complete events to the caller; returns false when it is gone.
+bool RelayRequest::ForwardEvents(const std::string& events,
+                                 const ServerAttempt& attempt) {
   if (!had_first_event_) {
     NoteFirstEvent();
     // The engine has read its inputs.
@@ -165,18 +168,18 @@
   }
   if (!stream_started_) {
     stream_started_ = true;
-    first_event_after_ = Elapsed();
+    first_event_time_ = Elapsed();
     context_->metrics_->Observe(kFirstTokenSeconds, {job_->route_->name_},
-                                first_event_after_);
+                                first_event_time_);
     if (!exchange_->StartStream(
-            AnswerOf(attempt.status(), attempt.headers()))) {
+            ResponseOf(attempt.status(), attempt.headers()))) {
       return false;
     }
   }
   return exchange_->Write(events);
 }
 
-RelayRequest::Ended RelayRequest::AfterFailure(
+RelayRequest::AttemptResult RelayRequest::AfterFailure(
     const ServerAttempt& attempt) const {
   if (attempt.is_done() && attempt.outcome() == CallOutcome::kConnectFailed) {
     return {Step::kNotRun, "connect failed"};
@@ -193,13 +196,13 @@
       !job_->route_->resumable_ || job_->route_->target_gap_ == Duration()) {
     return std::nullopt;
   }
-  return std::max(kShortestStall, job_->route_->target_gap_ * kStalledGaps);
+  return std::max(kMinStallLimit, job_->route_->target_gap_ * kStallGapRatio);
 }
 
 Duration RelayRequest::FirstReplyLimit() const {
-  const auto silent = std::chrono::duration_cast<Duration>(
-      job_->route_->target_latency_ * kSilentTargets);
-  return std::max(kShortestSilence, silent);
+  const auto limit = std::chrono::duration_cast<Duration>(
+      job_->route_->target_latency_ * kFirstReplyTargetRatio);
+  return std::max(kMinFirstReplyLimit, limit);
 }
 
 void RelayRequest::RefuseAfterFailure() {
--- a/src/relay/relay_request_server.cc
+++ b/src/relay/relay_request_server.cc
@@ -11,20 +11,20 @@
 
 namespace citronlane {
 
-// A share of the requests by weight.
+// Chooses a service at random by weight.
 std::string_view RelayRequest::ServiceName() const {
   const auto& split = job_->route_->split_;
   double sum = 0;
-  for (const WeightedService& part : split) {
-    sum += std::max(0.0, part.weight_);
+  for (const WeightedService& weighted : split) {
+    sum += std::max(0.0, weighted.weight_);
   }
   constexpr uint64_t kSteps = 1 << 20;
   double draw = sum * static_cast<double>(context_->random_(kSteps)) / kSteps;
-  for (const WeightedService& part : split) {
-    if (part.weight_ > 0 && draw < part.weight_) {
-      return part.service_;
+  for (const WeightedService& weighted : split) {
+    if (weighted.weight_ > 0 && draw < weighted.weight_) {
+      return weighted.service_;
     }
-    draw -= std::max(0.0, part.weight_);
+    draw -= std::max(0.0, weighted.weight_);
   }
   return split.back().service_;
 }
@@ -33,58 +33,59 @@
   const TimePoint now = SteadyNow();
   router_->Update(*context_->view_, now);
   engine_.Begin(*service_, EngineDomain());
-  if (engine_.is_elsewhere()) {
-    const std::string named =
-        engine_.Ask(EnginePlacement::Purpose::kStart, RouterCall(), tried_);
+  if (engine_.is_placed_elsewhere()) {
+    const std::string named = engine_.RequestEngine(
+        EnginePlacement::Purpose::kStart, RouterCall(), tried_);
     const BackendServer* server = context_->view_->FindServer(named);
     if (server != nullptr && !server->leaving_) {
       return server;
     }
-    // Of lists of different age, or there is no answer.
-    engine_.Forget();
+    // The two gateways' lists differ in age, or there was no reply.
+    engine_.Cancel();
   }
   auto id = router_->Choose(SteadyNow(), RouterCall(), tried_);
-  if (!id && engine_.is_here()) {
-    // Its part has no engine that was not tried.
-    engine_.Leave();
+  if (!id && engine_.is_placed_here()) {
+    // Every engine of its partition was tried.
+    engine_.Detach();
     id = router_->Choose(SteadyNow(), RouterCall(), tried_);
   }
   return id ? context_->view_->FindServer(*id) : nullptr;
 }
 
-// Of divided engines: where heavy results lie, or else what keeps the prompt.
+// For divided engines: the domain of large results or else of the cached
+// prompt.
 std::string RelayRequest::EngineDomain() {
   if (!context_->view_->IsDivided(service_->name_)) {
     return {};
   }
-  if (stages_.HasHeavyResults() && !near_domain_.empty()) {
+  if (stages_.HasLargeResults() && !near_domain_.empty()) {
     return near_domain_;
   }
-  return home_domain_.empty() ? PromptHome() : home_domain_;
+  return stage_domain_.empty() ? PreferredPromptDomain() : stage_domain_;
 }
 
-// Where the engine will be that the request goes to after its stages: heavy
+// Domain of the engine that will run the request after its stages: large
 // results are best made there.
 std::string RelayRequest::PlannedDomain() {
   router_->Update(*context_->view_, SteadyNow());
   if (context_->view_->IsDivided(service_->name_)) {
-    std::string home = PromptHome();
-    engine_.Begin(*service_, home);
-    return home;
+    std::string preferred_domain = PreferredPromptDomain();
+    engine_.Begin(*service_, preferred_domain);
+    return preferred_domain;
   }
   engine_.Begin(*service_, {});
-  if (!engine_.is_elsewhere() || !stages_.HasHeavyResults()) {
-    return PromptHome();
+  if (!engine_.is_placed_elsewhere() || !stages_.HasLargeResults()) {
+    return PreferredPromptDomain();
   }
-  const std::string named =
-      engine_.Ask(EnginePlacement::Purpose::kPlan, RouterCall(), tried_);
-  engine_.Forget();
+  const std::string named = engine_.RequestEngine(
+      EnginePlacement::Purpose::kPlan, RouterCall(), tried_);
+  engine_.Cancel();
   const BackendServer* server = context_->view_->FindServer(named);
-  return server == nullptr ? PromptHome() : server->failure_domain_;
+  return server == nullptr ? PreferredPromptDomain() : server->failure_domain_;
 }
 
-// Failure domain of the engine that should keep the prompt's shared parts.
-std::string RelayRequest::PromptHome() {
+// Failure domain of the engine that should hold the prompt's shared segments.
+std::string RelayRequest::PreferredPromptDomain() {
   return router_->HomeDomain(SteadyNow(), RouterCall());
 }
 
@@ -93,9 +94,9 @@
   call.prompt_ = job_->head_.prompt_;
   call.near_ = near_domain_;
   call.input_bytes_ = stages_.InputBytes();
-  call.sees_all_ = engine_.is_here();
-  if (engine_.is_here()) {
-    call.only_in_ = engine_.part().failure_domain_;
+  call.sees_all_ = engine_.is_placed_here();
+  if (engine_.is_placed_here()) {
+    call.only_in_ = engine_.partition().failure_domain_;
   }
   return call;
 }
--- a/src/relay/relay_service.cc
+++ b/src/relay/relay_service.cc
@@ -19,15 +19,14 @@
 namespace citronlane {
 namespace {
 
-/// How long a request waits for the gateway's first configuration and its first
-/// list of servers: control VMs that start together with it have them to give
-/// well before. A caller that was refused instead would come back too late for
-/// its target.
+/// How long a request waits for the gateway's first configuration and server
+/// list; control VMs that start at the same time can provide them well before.
+/// A caller refused instead would retry too late for its target.
 constexpr Duration kViewWait = std::chrono::milliseconds(600);
-/// Nor longer than this part of the time that the caller has.
-constexpr int kViewWaitPart = 4;
+/// The wait is also limited to the caller's remaining time divided by this.
+constexpr int kViewWaitDivisor = 4;
 
-// The name without its port.
+// The host name without its port.
 std::string_view HostName(std::string_view host) {
   const size_t colon = host.rfind(':');
   const bool has_port = colon != std::string_view::npos &&
@@ -37,8 +36,8 @@
 
 }  // namespace
 
-RelayService::RelayService(const RelayContext* context, size_t most_requests)
-    : context_(context), most_requests_(most_requests) {}
+RelayService::RelayService(const RelayContext* context, size_t max_requests)
+    : context_(context), max_requests_(max_requests) {}
 
 void RelayService::Serve(const HttpRequest& request, HttpExchange* exchange) {
   RelayJob job;
@@ -60,24 +59,24 @@
     return;
   }
   RelayRequest relay(context_, &job, &request, exchange);
-  in_hand_[&relay] = &job;
+  in_flight_[&relay] = &job;
   relay.Run();
-  in_hand_.erase(&relay);
+  in_flight_.erase(&relay);
 }
 
-// Returns whether the caller is still there when the condition holds or the
-// time is up.
+// Suspends until the condition holds or the time is up. Returns whether the
+// caller is still connected.
 bool RelayService::Await(const std::function<bool()>& condition,
                          TimePoint arrived,
                          const HttpRequest& request,
                          HttpExchange* exchange) {
-  if (condition() || awaiting_view_.size() >= most_requests_) {
+  if (condition() || awaiting_view_.size() >= max_requests_) {
     return true;
   }
   const auto time_left =
       context_->dialect_->read_request_(request.headers_).time_left_;
   const Duration longest =
-      std::min(kViewWait, time_left.value_or(kViewWait) / kViewWaitPart);
+      std::min(kViewWait, time_left.value_or(kViewWait) / kViewWaitDivisor);
   const auto waker = std::make_shared<Waker>(context_->io_, exchange);
   awaiting_view_.insert(waker);
   waker->WaitUntil(condition, arrived + longest);
@@ -87,7 +86,7 @@
   return !is_gone;
 }
 
-void RelayService::ViewArrived() {
+void RelayService::OnViewReady() {
   for (const auto& waker : awaiting_view_) {
     waker->Wake();
   }
@@ -97,7 +96,7 @@
   for (const auto& waker : awaiting_view_) {
     waker->Expire();
   }
-  for (const auto& [relay, job] : in_hand_) {
+  for (const auto& [relay, job] : in_flight_) {
     relay->GiveUp(job);
   }
 }
@@ -109,8 +108,8 @@
   if (!job->config_) {
     return RefusalReason::kNoConfiguration;
   }
-  // A second host, or a target that names one, could mean another route to the
-  // server than it does here.
+  // The server could route a second host, or a target that names one, to
+  // another place than the route found here.
   if (request.CountHeader("Host") != 1 || request.target_.empty() ||
       request.target_.front() != '/' || job->head_.request_id_.empty()) {
     return RefusalReason::kMalformedRequest;
@@ -139,7 +138,7 @@
           ? std::min(job->deadline_, job->arrived_ + route.caller_patience_)
           : job->deadline_;
   job->target_ = job->arrived_ + route.target_latency_;
-  if (in_hand_.size() >= most_requests_) {
+  if (in_flight_.size() >= max_requests_) {
     return RefusalReason::kConcurrencyLimit;
   }
   return std::nullopt;
@@ -157,7 +156,7 @@
                          {"route", route},
                          {"reason", ToString(reason)},
                          {"status", reply.status_},
-                         {"in_hand", static_cast<uint64_t>(in_hand_.size())},
+                         {"in_hand", static_cast<uint64_t>(in_flight_.size())},
                          {"config", job.config_ ? job.config_->version() : 0}});
   exchange->Reply(reply);
 }
--- a/src/relay/server_attempt.cc
+++ b/src/relay/server_attempt.cc
@@ -30,9 +30,10 @@
 
 constexpr int kFirstFailure = 400;
 
-// Servers name the request in each reply, refusals included. One that is taken
-// though it doesn't is handed to whoever called next: a server that answers
-// twice sends the second reply where the next one is expected.
+// Servers repeat the request id in each reply, refusals included. A reply
+// without it must not be accepted: a server that replies twice sends the
+// duplicate where the next reply is expected, and it would reach the next
+// caller.
 ReplyOwner OwnerOf(const std::string& request_id,
                    const StageReplyHead& head,
                    const ServerReplyHead& reply) {
@@ -45,20 +46,20 @@
   if (!reply.request_id_.empty() || head.kept_connection_) {
     return ReplyOwner::kOtherCall;
   }
-  // Nothing came before on this connection. A server may refuse to read a call
-  // and so not know its name, but it can't have answered it.
+  // This is the first reply on the connection. A server that could not read the
+  // call does not know its id, but its reply cannot be to another call.
   return head.status_ >= kFirstFailure ? ReplyOwner::kAssumed
                                        : ReplyOwner::kUnclear;
 }
 
-std::string_view WhyOther(const ServerReplyHead& reply) {
+std::string_view MismatchReason(const ServerReplyHead& reply) {
   if (reply.is_ambiguous_) {
     return "ambiguous";
   }
   return reply.request_id_.empty() ? "no_id" : "other_id";
 }
 
-// What tells a server that answers twice from one that names no request.
+// Distinguishes a server that replies twice from one that omits request ids.
 void LogOtherReply(const RelayContext& context,
                    const ServerAttempt::Names& names,
                    const StageReplyHead& head,
@@ -69,11 +70,11 @@
                        {"reply_to", reply.request_id_},
                        {"status", head.status_},
                        {"not_run", reply.not_run_ ? "yes" : "no"},
-                       {"why", WhyOther(reply)},
+                       {"why", MismatchReason(reply)},
                        {"sealed", reply.sealed_ ? "yes" : "no"},
                        {"connection", head.kept_connection_ ? "kept" : "new"}});
   context.metrics_->Count(kOtherRepliesTotal,
-                          {WhyOther(reply), names.service_});
+                          {MismatchReason(reply), names.service_});
 }
 
 }  // namespace
--- a/src/relay/stage_owners.cc
+++ b/src/relay/stage_owners.cc
@@ -21,9 +21,9 @@
 using wire::fleet::Frame;
 using Result = StageOutcome::Result;
 
-/// A task that was moved this often stays here, or fails where the pool is
-/// divided, since another gateway has its servers.
-constexpr uint32_t kMostMoves = 3;
+/// A task that was moved this often stays at this gateway or, if the pool is
+/// divided, fails, since its servers belong to another gateway.
+constexpr uint32_t kMaxMoves = 3;
 
 }  // namespace
 
@@ -62,9 +62,9 @@
   }
 }
 
-PoolPart StageOwners::PartOf(uint64_t number, const Job& job) const {
-  return owners_.PartFor(job.service_, job.failure_domain_, number,
-                         SteadyNow());
+PoolPart StageOwners::PartitionOf(uint64_t number, const Job& job) const {
+  return owners_.PartitionFor(job.service_, job.failure_domain_, number,
+                              SteadyNow());
 }
 
 void StageOwners::PlaceAnnouncement(uint64_t number,
@@ -72,11 +72,11 @@
   Job& job = jobs_.at(number);
   const TimePoint now = SteadyNow();
   job.state_ = JobState::kAnnounced;
-  job.part_ = PartOf(number, job);
-  job.owner_ = owners_.OwnerOf(job.part_, now);
+  job.partition_ = PartitionOf(number, job);
+  job.owner_ = owners_.OwnerOf(job.partition_, now);
   if (job.owner_ == owners_.own_endpoint()) {
     job.owner_.clear();
-    if (StagePool* pool = pool_(job.part_)) {
+    if (StagePool* pool = pool_(job.partition_)) {
       const auto wait = pool->ExpectedWait(forecast, now);
       job.local_ = pool->Announce(forecast);
       if (wait) {
@@ -88,13 +88,14 @@
   Frame frame;
   auto* out = frame.mutable_announcement();
   out->set_job(number);
-  NamePart(job.part_, out);
+  EncodePartition(job.partition_, out);
   EncodeForecast(forecast, now, out);
   LinkTo(job.owner_)->Send(frame);
 }
 
-// Returns whether no piece was handed to a server while it had the job. What
-// another gateway did with a task it was sent is not known here.
+// Withdraws the job from its owner. Returns whether no piece was handed to a
+// server meanwhile, which is unknown for a task that was sent to another
+// gateway.
 bool StageOwners::WithdrawFromOwner(uint64_t number, const Job& job) {
   if (job.state_ == JobState::kUnplaced || job.state_ == JobState::kMoving) {
     return true;
@@ -106,7 +107,7 @@
     LinkTo(job.owner_)->Send(frame);
     return !is_submitted;
   }
-  StagePool* const pool = pool_(job.part_);
+  StagePool* const pool = pool_(job.partition_);
   if (pool == nullptr) {
     return true;
   }
@@ -117,11 +118,12 @@
   return true;
 }
 
-// An owner that takes the job, or another announcement under its number, drops
-// the one before; this gateway itself, and an owner of before, must be told.
+// An owner that receives the job, or another announcement with its number,
+// drops the previous one by itself. This gateway's own pool and a previous
+// owner must be notified.
 void StageOwners::WithdrawIfElsewhere(uint64_t number, const Job& job) {
   if (job.owner_.empty() ||
-      job.owner_ != owners_.OwnerOf(PartOf(number, job), SteadyNow())) {
+      job.owner_ != owners_.OwnerOf(PartitionOf(number, job), SteadyNow())) {
     WithdrawFromOwner(number, job);
   }
 }
@@ -146,15 +148,15 @@
   }
   Job& job = it->second;
   const TimePoint now = SteadyNow();
-  job.part_ = PartOf(number, job);
-  const bool moved_too_often = job.moves_ >= kMostMoves;
+  job.partition_ = PartitionOf(number, job);
+  const bool moved_too_often = job.moves_ >= kMaxMoves;
   job.state_ = JobState::kSubmitted;
   if (moved_too_often && view_->IsDivided(job.service_)) {
     FailUnplaced(number, &job);
     return;
   }
   job.owner_ = moved_too_often ? owners_.own_endpoint()
-                               : owners_.OwnerOf(job.part_, now);
+                               : owners_.OwnerOf(job.partition_, now);
   ++job.moves_;
   if (job.owner_ == owners_.own_endpoint()) {
     PlaceHere(number, &job);
@@ -163,12 +165,12 @@
   Frame frame;
   auto* out = frame.mutable_job();
   out->set_job(number);
-  NamePart(job.part_, out);
+  EncodePartition(job.partition_, out);
   EncodeTask(job.task_, now, out);
   LinkTo(job.owner_)->Send(frame);
 }
 
-// Nobody has it: it ends as failed, later.
+// The job has no owner: it ends as failed, later.
 void StageOwners::FailUnplaced(uint64_t number, Job* job) {
   job->state_ = JobState::kMoving;
   StageOutcome outcome;
@@ -178,12 +180,12 @@
 
 void StageOwners::PlaceHere(uint64_t number, Job* job) {
   job->owner_.clear();
-  StagePool* pool = pool_(job->part_);
+  StagePool* pool = pool_(job->partition_);
   if (pool == nullptr) {
     FailUnplaced(number, job);
     return;
   }
-  // The pool may answer before it returns.
+  // The pool may call back before Submit() returns.
   const uint64_t task = pool->Submit(
       job->task_,
       [this, number](const StageOutcome& outcome) { Finish(number, outcome); },
@@ -199,11 +201,11 @@
   if (it == jobs_.end()) {
     return;
   }
-  // Whoever ends it knows of its own calls only.
+  // The reporting owner knows only its own calls.
   outcome.not_run_ = outcome.not_run_ && !it->second.may_have_run_;
   if (outcome.result_ == Result::kMoved) {
     it->second.state_ = JobState::kMoving;
-    // Not at once: the pool that had it is at work.
+    // Deferred, since the pool that had it is running.
     boost::asio::post(*io_, [this, number] { Place(number); });
     return;
   }
@@ -212,8 +214,8 @@
   done(outcome);
 }
 
-// Whether the owner has the task now: what it says of others is late.
-bool StageOwners::IsAt(uint64_t number, const std::string& owner) const {
+// Whether the owner has the task now. Messages of previous owners are ignored.
+bool StageOwners::IsHeldBy(uint64_t number, const std::string& owner) const {
   const auto it = jobs_.find(number);
   return it != jobs_.end() && it->second.state_ == JobState::kSubmitted &&
          it->second.owner_ == owner;
@@ -244,15 +246,17 @@
     hooks.received_ = [this, endpoint](Frame* frame) {
       TakeFrame(endpoint, *frame);
     };
-    // What it had is known at once, as the next task goes on a new connection.
-    // The rest is not done at once: the link may be lost within Send.
+    // The tasks of the lost connection are collected now, since the next task
+    // uses a new connection. The rest is deferred, since the link may be lost
+    // within Send().
     hooks.lost_ = [this, endpoint](FrameLink::Loss loss) {
       const bool is_gone = loss != FrameLink::Loss::kEnded;
-      const bool had_them = loss != FrameLink::Loss::kNoConnection;
-      boost::asio::post(*io_, [this, endpoint, is_gone,
-                               moved = TakeFrom(endpoint, had_them)] {
-        OwnerLost(endpoint, is_gone, moved);
-      });
+      const bool may_have_them = loss != FrameLink::Loss::kNoConnection;
+      boost::asio::post(*io_,
+                        [this, endpoint, is_gone,
+                         moved = DetachJobsFrom(endpoint, may_have_them)] {
+                          OwnerLost(endpoint, is_gone, moved);
+                        });
     };
     link = std::make_unique<FrameLink>(io_, endpoint, std::move(hooks));
   }
@@ -260,10 +264,10 @@
 }
 
 void StageOwners::TakeFrame(const std::string& owner, const Frame& frame) {
-  if (frame.has_job_result() && IsAt(frame.job_result().job(), owner)) {
+  if (frame.has_job_result() && IsHeldBy(frame.job_result().job(), owner)) {
     TakeResult(frame);
   } else if (frame.has_inputs_taken() &&
-             IsAt(frame.inputs_taken().job(), owner)) {
+             IsHeldBy(frame.inputs_taken().job(), owner)) {
     NoteInputsTaken(frame.inputs_taken().job());
   } else if (frame.has_pool_wait()) {
     const auto it = jobs_.find(frame.pool_wait().job());
@@ -274,9 +278,10 @@
   }
 }
 
-// The tasks that a lost owner had, or that were on their way to it.
-std::vector<uint64_t> StageOwners::TakeFrom(const std::string& owner,
-                                            bool had_them) {
+// Detaches and returns the tasks that a lost owner had, or that were sent to
+// it.
+std::vector<uint64_t> StageOwners::DetachJobsFrom(const std::string& owner,
+                                                  bool may_have_them) {
   std::vector<uint64_t> moved;
   for (auto& [number, job] : jobs_) {
     if (job.owner_ != owner) {
@@ -284,18 +289,18 @@
     }
     if (job.state_ == JobState::kSubmitted) {
       job.state_ = JobState::kMoving;
-      job.may_have_run_ |= had_them;
+      job.may_have_run_ |= may_have_them;
       moved.push_back(number);
     } else if (job.state_ == JobState::kAnnounced) {
-      // Comes where it belongs when it is submitted.
+      // Gets an owner when it is submitted.
       job.state_ = JobState::kUnplaced;
     }
   }
   return moved;
 }
 
-// One that only closed the connection is asked once more; if it is gone, it
-// takes no new connection.
+// An owner that only closed the connection is tried again; if it is gone, it
+// accepts no new connection.
 void StageOwners::OwnerLost(const std::string& owner,
                             bool is_gone,
                             const std::vector<uint64_t>& moved) {
@@ -309,7 +314,7 @@
   for (const uint64_t number : moved) {
     Place(number);
   }
-  FreeAgain(owner, is_gone);
+  ResendFrees(owner, is_gone);
 }
 
 void StageOwners::TakeResult(const Frame& frame) {
@@ -335,7 +340,7 @@
     }
   }
   FreeAtNextOwners(now);
-  ForgetOldFrees(now);
+  ExpireFrees(now);
 }
 
 }  // namespace citronlane
--- a/src/relay/stage_owners_free.cc
+++ b/src/relay/stage_owners_free.cc
@@ -15,78 +15,79 @@
 
 using wire::fleet::Frame;
 
-/// An owner that does not answer is found lost well within this time.
-constexpr Duration kFreedKnown = std::chrono::milliseconds(1500);
+/// An owner that does not reply is detected as lost well within this time.
+constexpr Duration kFreeRetryTime = std::chrono::milliseconds(1500);
 
 }  // namespace
 
 void StageOwners::Free(const std::string& service,
                        absl::Span<const std::string> handles) {
-  std::map<PoolPart, std::vector<std::string>> by_part;
+  std::map<PoolPart, std::vector<std::string>> by_partition;
   for (const std::string& handle : handles) {
-    by_part[MakerOf(service, handle)].push_back(handle);
+    by_partition[ProducerPartition(service, handle)].push_back(handle);
   }
   const TimePoint now = SteadyNow();
-  for (const auto& [part, freed] : by_part) {
-    SendFree(now, part, freed);
+  for (const auto& [partition, freed] : by_partition) {
+    SendFree(now, partition, freed);
   }
 }
 
-// Of a maker that is not in the list any more any part can free the result.
-PoolPart StageOwners::MakerOf(const std::string& service,
-                              const std::string& handle) const {
-  const BackendServer* maker = view_->ServerAt(MakerAddress(handle));
-  return maker == nullptr || maker->service_ != service
-             ? view_->PartsOf(service).front()
-             : view_->PartIn(service, maker->failure_domain_);
+// Any partition can free the result of a producer that is no longer in the
+// list.
+PoolPart StageOwners::ProducerPartition(const std::string& service,
+                                        const std::string& handle) const {
+  const BackendServer* producer = view_->ServerAt(MakerAddress(handle));
+  return producer == nullptr || producer->service_ != service
+             ? view_->PartitionsOf(service).front()
+             : view_->PartitionIn(service, producer->failure_domain_);
 }
 
 void StageOwners::SendFree(TimePoint first_sent,
-                           const PoolPart& part,
+                           const PoolPart& partition,
                            absl::Span<const std::string> handles) {
-  const std::string owner = owners_.OwnerOf(part, SteadyNow());
+  const std::string owner = owners_.OwnerOf(partition, SteadyNow());
   if (owner == owners_.own_endpoint()) {
-    if (StagePool* pool = pool_(part)) {
+    if (StagePool* pool = pool_(partition)) {
       pool->Free(handles);
     }
     return;
   }
   Frame frame;
   auto* free = frame.mutable_free();
-  NamePart(part, free);
+  EncodePartition(partition, free);
   for (const std::string& handle : handles) {
     free->add_handles(handle);
   }
   freed_.push_back(
-      Freed{first_sent, owner, part,
+      Freed{first_sent, owner, partition,
             std::vector<std::string>(handles.begin(), handles.end())});
   LinkTo(owner)->Send(frame);
 }
 
-// What was on its way on a connection that ended is freed by the owner on its
-// next one, or by the next owner when it is gone.
-void StageOwners::FreeAgain(const std::string& owner, bool is_gone) {
+// Repeats requests that may have been lost with a connection: to the same owner
+// on its next connection, or to the next owner if it is gone.
+void StageOwners::ResendFrees(const std::string& owner, bool is_gone) {
   const TimePoint now = SteadyNow();
   for (const Freed& freed : std::exchange(freed_, {})) {
-    if (now - freed.at_ > kFreedKnown) {
+    if (now - freed.at_ > kFreeRetryTime) {
       continue;
     }
-    const bool has_next = owners_.OwnerOf(freed.part_, now) != owner;
+    const bool has_next = owners_.OwnerOf(freed.partition_, now) != owner;
     if (freed.owner_ == owner && has_next == is_gone) {
-      SendFree(freed.at_, freed.part_, freed.handles_);
+      SendFree(freed.at_, freed.partition_, freed.handles_);
     } else {
       freed_.push_back(freed);
     }
   }
 }
 
-// A part of a failure domain has no next owner until control names one.
+// A domain partition has no next owner until control names one.
 void StageOwners::FreeAtNextOwners(TimePoint now) {
   std::deque<Freed> kept;
   for (Freed& freed : std::exchange(freed_, {})) {
-    if (freed.part_.IsDomainPartition() &&
-        owners_.OwnerOf(freed.part_, now) != freed.owner_) {
-      SendFree(freed.at_, freed.part_, freed.handles_);
+    if (freed.partition_.IsDomainPartition() &&
+        owners_.OwnerOf(freed.partition_, now) != freed.owner_) {
+      SendFree(freed.at_, freed.partition_, freed.handles_);
     } else {
       kept.push_back(std::move(freed));
     }
@@ -95,27 +96,27 @@
   freed_ = std::move(kept);
 }
 
-// Its results crossed the end of their request on their way: nobody there knows
-// of them.
-void StageOwners::FreeAnswered(const ServedKey& key) {
+// Frees the results that were delivered while their request was ending, since
+// nothing there will free them.
+void StageOwners::FreeDelivered(const ServedKey& key) {
   const auto it = std::find_if(
-      answered_.begin(), answered_.end(),
-      [&key](const Answered& answered) { return answered.key_ == key; });
-  if (it == answered_.end()) {
+      delivered_.begin(), delivered_.end(),
+      [&key](const Delivered& delivered) { return delivered.key_ == key; });
+  if (it == delivered_.end()) {
     return;
   }
-  if (StagePool* pool = pool_(it->part_)) {
+  if (StagePool* pool = pool_(it->partition_)) {
     pool->Free(it->handles_);
   }
-  answered_.erase(it);
+  delivered_.erase(it);
 }
 
-void StageOwners::ForgetOldFrees(TimePoint now) {
-  while (!freed_.empty() && now - freed_.front().at_ > kFreedKnown) {
+void StageOwners::ExpireFrees(TimePoint now) {
+  while (!freed_.empty() && now - freed_.front().at_ > kFreeRetryTime) {
     freed_.pop_front();
   }
-  while (!answered_.empty() && now - answered_.front().at_ > kFreedKnown) {
-    answered_.pop_front();
+  while (!delivered_.empty() && now - delivered_.front().at_ > kFreeRetryTime) {
+    delivered_.pop_front();
   }
 }
 
--- a/src/relay/stage_owners_serve.cc
+++ b/src/relay/stage_owners_serve.cc
@@ -24,16 +24,16 @@
   } else if (frame->has_job_cancel()) {
     const ServedKey key{channel.get(), frame->job_cancel().job()};
     DropAnnouncement(key);
-    FreeAnswered(key);
+    FreeDelivered(key);
     const auto it = served_.find(key);
     if (it != served_.end()) {
-      if (StagePool* pool = pool_(it->second.part_)) {
+      if (StagePool* pool = pool_(it->second.partition_)) {
         pool->Cancel(it->second.local_);
       }
       served_.erase(it);
     }
   } else if (frame->has_free()) {
-    if (StagePool* pool = pool_(PartNamedBy(frame->free()))) {
+    if (StagePool* pool = pool_(DecodePartition(frame->free()))) {
       const std::vector<std::string> handles(frame->free().handles().begin(),
                                              frame->free().handles().end());
       pool->Free(handles);
@@ -47,15 +47,15 @@
   const auto& announcement = frame.announcement();
   const ServedKey key{channel.get(), announcement.job()};
   DropAnnouncement(key);
-  const PoolPart part = PartNamedBy(announcement);
-  StagePool* pool = pool_(part);
+  const PoolPart partition = DecodePartition(announcement);
+  StagePool* pool = pool_(partition);
   if (pool == nullptr) {
     return;
   }
   const TimePoint now = SteadyNow();
   const StageForecast forecast = DecodeForecast(announcement, now);
   const auto wait = pool->ExpectedWait(forecast, now);
-  announced_[key] = Served{part, pool->Announce(forecast)};
+  announced_[key] = Served{partition, pool->Announce(forecast)};
   if (wait) {
     Frame reply;
     reply.mutable_pool_wait()->set_job(announcement.job());
@@ -69,7 +69,7 @@
   if (it == announced_.end()) {
     return;
   }
-  if (StagePool* pool = pool_(it->second.part_)) {
+  if (StagePool* pool = pool_(it->second.partition_)) {
     pool->Withdraw(it->second.local_);
   }
   announced_.erase(it);
@@ -85,7 +85,7 @@
     return;
   }
   const std::weak_ptr<FrameChannel> weak = channel;
-  const auto answer = [weak, number](const StageOutcome& outcome) {
+  const auto reply_with = [weak, number](const StageOutcome& outcome) {
     const auto open = weak.lock();
     if (!open) {
       return;
@@ -102,24 +102,25 @@
     result->set_not_run(outcome.not_run_);
     open->Send(reply);
   };
-  const PoolPart part = PartNamedBy(job);
-  StagePool* pool = pool_(part);
+  const PoolPart partition = DecodePartition(job);
+  StagePool* pool = pool_(partition);
   if (pool == nullptr) {
     StageOutcome outcome;
     outcome.not_run_ = true;
-    answer(outcome);
+    reply_with(outcome);
     return;
   }
-  served_[key] = Served{part, 0};
+  served_[key] = Served{partition, 0};
   const uint64_t task = pool->Submit(
       DecodeTask(job, SteadyNow()),
-      [this, key, answer, part](const StageOutcome& outcome) {
+      [this, key, reply_with, partition](const StageOutcome& outcome) {
         served_.erase(key);
-        // First, as the connection may end while it is told.
+        // Recorded before the reply, since the connection may end while it is
+        // sent.
         if (!outcome.handles_.empty()) {
-          answered_.push_back({SteadyNow(), key, part, outcome.handles_});
+          delivered_.push_back({SteadyNow(), key, partition, outcome.handles_});
         }
-        answer(outcome);
+        reply_with(outcome);
       },
       [weak, number] {
         if (const auto open = weak.lock()) {
@@ -135,14 +136,14 @@
 }
 
 void StageOwners::Closed(const FrameChannel* channel) {
-  answered_.erase(std::remove_if(answered_.begin(), answered_.end(),
-                                 [channel](const Answered& answered) {
-                                   return answered.key_.first == channel;
-                                 }),
-                  answered_.end());
+  delivered_.erase(std::remove_if(delivered_.begin(), delivered_.end(),
+                                  [channel](const Delivered& delivered) {
+                                    return delivered.key_.first == channel;
+                                  }),
+                   delivered_.end());
   for (auto it = served_.lower_bound({channel, 0});
        it != served_.end() && it->first.first == channel;) {
-    if (StagePool* pool = pool_(it->second.part_)) {
+    if (StagePool* pool = pool_(it->second.partition_)) {
       pool->Cancel(it->second.local_);
     }
     it = served_.erase(it);
--- a/src/relay/stage_pool.cc
+++ b/src/relay/stage_pool.cc
@@ -16,36 +16,36 @@
 namespace {
 
 constexpr int kOk = 200;
-/// Freeing is no work; a server that does not answer drops the results itself.
-constexpr Duration kFreeTime = std::chrono::milliseconds(800);
-/// A connection that has rested for 4 s is not used again.
-constexpr Duration kReplyMemory = std::chrono::seconds(10);
+/// Freeing takes little time; a server that does not reply expires the results.
+constexpr Duration kFreeTimeout = std::chrono::milliseconds(800);
+/// How long replies are remembered: idle connections are closed sooner.
+constexpr Duration kReplyMemoryTime = std::chrono::seconds(10);
 
 }  // namespace
 
-StagePool::StagePool(PoolPart part,
+StagePool::StagePool(PoolPart partition,
                      const StagePoolSpec& spec,
                      const RepeatBudget::Options& budget,
                      const FleetView* view,
                      const Dialect* dialect,
                      StageClient* client,
                      EventLog* log)
-    : part_(std::move(part)),
-      name_(part_.Name()),
+    : partition_(std::move(partition)),
+      name_(partition_.Name()),
       view_(view),
       dialect_(dialect),
       client_(client),
       log_(log),
       budget_(budget),
-      // Each part has its share of the service's allowance, and one more is
-      // kept back: two gateways run a part for a moment when gateways come and
-      // go.
+      // Each partition has its share of the service's repeat budget. One more
+      // share is kept back, because two gateways run a partition for a moment
+      // when its owner changes.
       batcher_(spec,
                [this](TimePoint now) {
                  return budget_.TryTake(
-                     now, view_->PartsOf(part_.service_).size() + 1);
+                     now, view_->PartitionsOf(partition_.service_).size() + 1);
                }),
-      reply_check_(kReplyMemory) {}
+      reply_check_(kReplyMemoryTime) {}
 
 StagePool::~StagePool() {
   for (const auto& [number, call] : calls_) {
@@ -92,14 +92,14 @@
 }
 
 void StagePool::Tick(TimePoint now) {
-  if (parts_number_ != view_->parts_number()) {
-    parts_number_ = view_->parts_number();
-    batcher_.SetServers(view_->ServersIn(part_));
+  if (partitions_number_ != view_->partitions_number()) {
+    partitions_number_ = view_->partitions_number();
+    batcher_.SetServers(view_->ServersIn(partition_));
   }
   const auto& config = view_->config();
   if (config && config->version() != config_version_) {
     config_version_ = config->version();
-    const Service* service = config->FindService(part_.service_);
+    const Service* service = config->FindService(partition_.service_);
     if (service != nullptr && service->stage_pool_) {
       batcher_.SetSpec(*service->stage_pool_);
     }
@@ -153,10 +153,10 @@
   const auto reply = std::make_shared<Reply>();
   StageCallHooks hooks;
   hooks.sending_ = [] { return true; };
-  hooks.head_ = [this, reply](const StageReplyHead& answered) {
-    reply->status_ = answered.status_;
+  hooks.head_ = [this, reply](const StageReplyHead& head) {
+    reply->status_ = head.status_;
     reply->not_run_ =
-        dialect_->read_reply_(answered.status_, answered.headers_).not_run_;
+        dialect_->read_reply_(head.status_, head.headers_).not_run_;
     return true;
   };
   hooks.owner_by_body_ = [this, number, reply, server = batch.server_,
@@ -185,9 +185,9 @@
                           const std::string& server,
                           const Reply& reply) {
   const TimePoint now = SteadyNow();
-  // Of a reply that was read past before a failure nothing counts.
+  // Results that were parsed before the call failed are ignored.
   if (reply.status_ == kOk && reply.results_) {
-    LogUnmade(call, server, *reply.results_);
+    LogIncompletePieces(call, server, *reply.results_);
     batcher_.Finished(call, *reply.results_, now);
   } else {
     log_->Write("stages", "call refused",
@@ -205,7 +205,7 @@
   Pump(now);
 }
 
-// Replies name no call: what they hold has to tell.
+// Replies name no call, so their contents must identify it.
 ReplyOwner StagePool::OwnerOf(uint64_t call,
                               const std::string& server,
                               absl::Span<const StagePiece> pieces,
@@ -218,24 +218,25 @@
   if (match == StageReplyCheck::Match::kOwn) {
     return ReplyOwner::kThisCall;
   }
-  // Whatever comes first on a connection can't be another call's.
+  // The first reply on a connection cannot belong to another call.
   if (match == StageReplyCheck::Match::kMayBeOthers || !head.kept_connection_) {
     return ReplyOwner::kAssumed;
   }
-  const bool is_seen = match == StageReplyCheck::Match::kSeenBefore;
+  const bool was_seen = match == StageReplyCheck::Match::kSeenBefore;
   log_->Write("stages", "reply of another call",
               {{"service", name_},
                {"server", server},
                {"call", call},
                {"pieces", static_cast<uint64_t>(pieces.size())},
                {"results", static_cast<uint64_t>(results.size())},
-               {"why", is_seen ? "seen before" : "other size"}});
+               {"why", was_seen ? "seen before" : "other size"}});
   return ReplyOwner::kOtherCall;
 }
 
-void StagePool::LogUnmade(uint64_t call,
-                          const std::string& server,
-                          const std::vector<StagePieceResult>& results) {
+void StagePool::LogIncompletePieces(
+    uint64_t call,
+    const std::string& server,
+    const std::vector<StagePieceResult>& results) {
   using Outcome = StagePieceResult::Outcome;
   const auto count = [&results](Outcome outcome) {
     return static_cast<uint64_t>(std::count_if(
@@ -276,9 +277,9 @@
 
 void StagePool::SendUnwanted(TimePoint now) {
   for (auto& [address, handles] : batcher_.TakeUnwanted()) {
-    StageCallSpec spec =
-        SpecFor(address, "POST", dialect_->free_results_path_, now + kFreeTime);
-    // A late second reply to it would be taken for a stage call's.
+    StageCallSpec spec = SpecFor(address, "POST", dialect_->free_results_path_,
+                                 now + kFreeTimeout);
+    // A late duplicate reply could be mistaken for that of a stage call.
     spec.connection_group_ = " frees";
     spec.headers_.push_back({"Content-Type", "application/json"});
     spec.body_ = dialect_->write_free_results_(handles);
@@ -286,7 +287,7 @@
     hooks.sending_ = [] { return true; };
     hooks.head_ = [](const StageReplyHead&) { return true; };
     hooks.done_ = [](CallOutcome, const std::string&) {};
-    // Nobody waits for the answer; the client keeps the call until it is over.
+    // The reply is ignored; the client keeps the call until it ends.
     client_->Start(std::move(spec), std::move(hooks));
   }
 }
--- a/src/relay/stage_runner.cc
+++ b/src/relay/stage_runner.cc
@@ -15,9 +15,9 @@
 namespace citronlane {
 namespace {
 
-/// Fewer bytes than these are fetched from anywhere: a free server now is worth
-/// more than one near them.
-constexpr uint64_t kWorthNear = uint64_t{256} << 10;
+/// For fewer bytes than this a server that is free now is preferred to a near
+/// one.
+constexpr uint64_t kMinNearBytes = uint64_t{256} << 10;
 
 std::string LargestOf(const std::map<std::string, uint64_t>& bytes) {
   const auto largest = std::max_element(
@@ -41,7 +41,7 @@
 }
 
 void StageRunner::Reset() {
-  answers_ = std::make_shared<Answers>();
+  events_ = std::make_shared<Events>();
   failure_.reset();
   const auto& counts = job_->head_.stage_pieces_;
   stages_.assign(job_->route_->stages_.size(), Stage());
@@ -62,22 +62,21 @@
     Reset();
   }
   Result result = RunOnce();
-  CancelOpen();
-  // A server took results with it, or kept them no longer: there is time for
-  // one more try when the caller is patient.
+  CancelPending();
+  // A server lost or expired results: if time allows, they are made once more.
   if (result == Result::kFailed &&
-      failure_ == StageOutcome::Result::kInputGone && HasTimeToRemake()) {
+      failure_ == StageOutcome::Result::kInputGone && HasTimeToRerun()) {
     FreeAll();
     Reset();
     result = RunOnce();
-    CancelOpen();
+    CancelPending();
   }
   return result;
 }
 
-// What becomes of a stage that is still under way is not awaited: it counts as
-// having run unless nothing of it was sent.
-void StageRunner::CancelOpen() {
+// The outcome of a stage in progress is not awaited: it counts as having run
+// unless nothing of it was sent.
+void StageRunner::CancelPending() {
   for (Stage& stage : stages_) {
     if (stage.job_) {
       const bool not_sent = owners_->Cancel(*stage.job_);
@@ -90,21 +89,23 @@
 StageRunner::Result StageRunner::RunOnce() {
   StartReady();
   while (!AllDone()) {
-    const bool answered = waker_->WaitUntil(
-        [this] { return !answers_->new_.empty() || !answers_->taken_.empty(); },
+    const bool has_event = waker_->WaitUntil(
+        [this] {
+          return !events_->outcomes_.empty() || !events_->inputs_taken_.empty();
+        },
         job_->begin_deadline_);
     if (waker_->caller_gone()) {
       return Result::kCallerGone;
     }
-    if (!answered) {
+    if (!has_event) {
       return Result::kLate;
     }
-    TakeAnswers();
+    TakeEvents();
     if (failure_) {
       return *failure_ == StageOutcome::Result::kLate ? Result::kLate
                                                       : Result::kFailed;
     }
-    FreeUsed();
+    FreeUnneeded();
     StartReady();
   }
   return Result::kDone;
@@ -136,7 +137,7 @@
   for (const uint32_t before : declared.after_) {
     const auto& handles = stages_[before].handles_;
     task.inputs_.insert(task.inputs_.end(), handles.begin(), handles.end());
-    task.inputs_until_ = std::min(task.inputs_until_, DroppedAt(before));
+    task.inputs_until_ = std::min(task.inputs_until_, ExpiryOf(before));
   }
   const StageForecast forecast = ForecastOf(index);
   task.target_ = forecast.target_;
@@ -144,7 +145,7 @@
   task.priority_ = forecast.priority_;
   task.result_bytes_ = declared.result_bytes_;
   task.near_domain_ = NearDomainOf(index);
-  const std::weak_ptr<Answers> weak = answers_;
+  const std::weak_ptr<Events> weak = events_;
   const auto waker = waker_;
   if (!stages_[index].job_) {
     Announce(index);
@@ -153,25 +154,25 @@
   owners_->Submit(
       *stages_[index].job_, std::move(task),
       [weak, waker, index](const StageOutcome& outcome) {
-        if (const auto answers = weak.lock()) {
-          answers->new_.emplace_back(index, outcome);
+        if (const auto events = weak.lock()) {
+          events->outcomes_.emplace_back(index, outcome);
           waker->Wake();
         }
       },
       [weak, waker, index] {
-        if (const auto answers = weak.lock()) {
-          answers->taken_.push_back(index);
+        if (const auto events = weak.lock()) {
+          events->inputs_taken_.push_back(index);
           waker->Wake();
         }
       });
 }
 
-// Where most of what each piece fetches lies; a stage that fetches nothing is
-// best made where its results will be needed.
+// The domain that holds most of the bytes that each piece fetches. A stage
+// without inputs is best run where its results will be used.
 std::string StageRunner::NearDomainOf(size_t index) const {
   const auto& after = job_->route_->stages_[index].after_;
   if (after.empty()) {
-    return IsFollowed(index) ? std::string() : result_domain_;
+    return HasDependents(index) ? std::string() : result_domain_;
   }
   std::map<std::string, uint64_t> bytes;
   for (const uint32_t before : after) {
@@ -179,10 +180,10 @@
   }
   // Every piece fetches all of them.
   uint64_t fetched = 0;
-  for (const auto& [domain, part] : bytes) {
-    fetched += part * stages_[index].pieces_;
+  for (const auto& [domain, size] : bytes) {
+    fetched += size * stages_[index].pieces_;
   }
-  return fetched < kWorthNear ? std::string() : LargestOf(bytes);
+  return fetched < kMinNearBytes ? std::string() : LargestOf(bytes);
 }
 
 void StageRunner::AddBytes(size_t index,
@@ -196,18 +197,18 @@
 std::string StageRunner::InputDomain() const {
   std::map<std::string, uint64_t> bytes;
   for (size_t i = 0; i < stages_.size(); ++i) {
-    if (!IsFollowed(i)) {
+    if (!HasDependents(i)) {
       AddBytes(i, &bytes);
     }
   }
   return LargestOf(bytes);
 }
 
-void StageRunner::TakeAnswers() {
-  for (const size_t index : std::exchange(answers_->taken_, {})) {
+void StageRunner::TakeEvents() {
+  for (const size_t index : std::exchange(events_->inputs_taken_, {})) {
     stages_[index].has_inputs_ = true;
   }
-  for (auto& [index, outcome] : std::exchange(answers_->new_, {})) {
+  for (auto& [index, outcome] : std::exchange(events_->outcomes_, {})) {
     Stage& stage = stages_[index];
     stage.job_.reset();
     not_run_ = not_run_ && outcome.not_run_;
@@ -221,10 +222,10 @@
   }
 }
 
-// A stage whose followers are done, or have fetched it, is needed by nobody.
-void StageRunner::FreeUsed() {
+// Frees the results of stages whose dependents are done or have fetched them.
+void StageRunner::FreeUnneeded() {
   for (size_t i = 0; i < stages_.size(); ++i) {
-    if (!stages_[i].is_done_ || !IsFollowed(i)) {
+    if (!stages_[i].is_done_ || !HasDependents(i)) {
       continue;
     }
     bool is_needed = false;
@@ -249,13 +250,13 @@
 }
 
 void StageRunner::FreeAll() {
-  CancelOpen();
+  CancelPending();
   for (size_t i = 0; i < stages_.size(); ++i) {
     FreeStage(i);
   }
 }
 
-bool StageRunner::IsFollowed(size_t index) const {
+bool StageRunner::HasDependents(size_t index) const {
   for (size_t i = 0; i < stages_.size(); ++i) {
     const auto& after = job_->route_->stages_[i].after_;
     if (stages_[i].pieces_ > 0 &&
@@ -279,7 +280,7 @@
 std::vector<std::string> StageRunner::Inputs() const {
   std::vector<std::string> inputs;
   for (size_t i = 0; i < stages_.size(); ++i) {
-    if (!IsFollowed(i)) {
+    if (!HasDependents(i)) {
       inputs.insert(inputs.end(), stages_[i].handles_.begin(),
                     stages_[i].handles_.end());
     }
@@ -287,20 +288,20 @@
   return inputs;
 }
 
-bool StageRunner::HasHeavyResults() const {
+bool StageRunner::HasLargeResults() const {
   uint64_t bytes = 0;
   for (size_t i = 0; i < stages_.size(); ++i) {
-    if (!IsFollowed(i)) {
+    if (!HasDependents(i)) {
       bytes += stages_[i].pieces_ * job_->route_->stages_[i].result_bytes_;
     }
   }
-  return bytes >= kWorthNear;
+  return bytes >= kMinNearBytes;
 }
 
 uint64_t StageRunner::InputBytes() const {
   uint64_t bytes = 0;
   for (size_t i = 0; i < stages_.size(); ++i) {
-    if (!IsFollowed(i)) {
+    if (!HasDependents(i)) {
       bytes +=
           stages_[i].handles_.size() * job_->route_->stages_[i].result_bytes_;
     }
--- a/src/relay/stage_runner_announce.cc
+++ b/src/relay/stage_runner_announce.cc
@@ -14,9 +14,9 @@
 namespace citronlane {
 namespace {
 
-/// The pools' gateways answer within a few milliseconds; without an answer the
-/// request goes on as if nothing waited.
-constexpr Duration kAnswerTime = std::chrono::milliseconds(60);
+/// The owners of the pools reply within a few milliseconds; without a reply the
+/// request continues as if nothing waited.
+constexpr Duration kPoolReplyTimeout = std::chrono::milliseconds(60);
 
 }  // namespace
 
@@ -36,10 +36,11 @@
     if (stages_[i].pieces_ == 0) {
       continue;
     }
-    for (const PoolPart& part :
-         view_->PartsOf(job_->route_->stages_[i].service_)) {
-      if (part.IsDomainPartition() && part.failure_domain_ != failure_domain_) {
-        domains.insert(part.failure_domain_);
+    for (const PoolPart& partition :
+         view_->PartitionsOf(job_->route_->stages_[i].service_)) {
+      if (partition.IsDomainPartition() &&
+          partition.failure_domain_ != failure_domain_) {
+        domains.insert(partition.failure_domain_);
       }
     }
   }
@@ -74,8 +75,8 @@
 }
 
 void StageRunner::AnnounceAll() {
-  ++answers_->announcement_;
-  answers_->waits_.clear();
+  ++events_->announcement_;
+  events_->waits_.clear();
   size_t asked = 0;
   for (size_t i = 0; i < stages_.size(); ++i) {
     if (stages_[i].pieces_ > 0) {
@@ -83,23 +84,23 @@
       ++asked;
     }
   }
-  waker_->WaitUntil([this, asked] { return answers_->waits_.size() >= asked; },
-                    SteadyNow() + kAnswerTime);
-  for (const auto& [index, wait] : answers_->waits_) {
+  waker_->WaitUntil([this, asked] { return events_->waits_.size() >= asked; },
+                    SteadyNow() + kPoolReplyTimeout);
+  for (const auto& [index, wait] : events_->waits_) {
     stages_[index].wait_ = wait;
   }
 }
 
 void StageRunner::Announce(size_t index) {
-  const std::weak_ptr<Answers> weak = answers_;
+  const std::weak_ptr<Events> weak = events_;
   const auto waker = waker_;
-  const uint32_t announcement = answers_->announcement_;
+  const uint32_t announcement = events_->announcement_;
   stages_[index].job_ = owners_->Announce(
       job_->route_->stages_[index].service_, ForecastOf(index),
       [weak, waker, index, announcement](const StageWait& wait) {
-        const auto answers = weak.lock();
-        if (answers && answers->announcement_ == announcement) {
-          answers->waits_.emplace_back(index, wait);
+        const auto events = weak.lock();
+        if (events && events->announcement_ == announcement) {
+          events->waits_.emplace_back(index, wait);
           waker->Wake();
         }
       });
--- a/src/relay/stage_runner_estimates.cc
+++ b/src/relay/stage_runner_estimates.cc
@@ -8,11 +8,12 @@
 namespace citronlane {
 namespace {
 
-/// What a server takes to the first event of its answer when it is not pressed.
-constexpr Duration kServerTime = std::chrono::milliseconds(250);
-/// Results are dropped this much before their makers say: their call ended
-/// before its answer came here, and the next server must fetch them.
-constexpr Duration kDropReserve = std::chrono::milliseconds(100);
+/// Time from the call to the first event of a server that is not overloaded.
+constexpr Duration kFirstEventTime = std::chrono::milliseconds(250);
+/// Results count as expired this much before their producers expire them: the
+/// call ended before its reply arrived here, and the next server must fetch
+/// them.
+constexpr Duration kExpiryMargin = std::chrono::milliseconds(100);
 
 }  // namespace
 
@@ -27,11 +28,11 @@
   return forecast;
 }
 
-// What the request still needs at least once this stage is done. A stage that
-// worked towards the request's own target would serve first what is too late
-// already.
+// Minimum time that the request still needs after this stage. If stages worked
+// towards the request's own target, they would serve first what is already
+// late.
 Duration StageRunner::TimeAfter(size_t index) const {
-  Duration longest = kServerTime;
+  Duration longest = kFirstEventTime;
   for (size_t i = index + 1; i < stages_.size(); ++i) {
     const auto& after = job_->route_->stages_[i].after_;
     if (stages_[i].pieces_ > 0 &&
@@ -42,7 +43,7 @@
   return longest;
 }
 
-// As its pool said, or as declared.
+// As its pool reported, or as declared.
 Duration StageRunner::CallTime(size_t index) const {
   if (stages_[index].wait_) {
     return stages_[index].wait_->call_;
@@ -56,18 +57,18 @@
          service->stage_pool_->piece_time_ * stages_[index].pieces_;
 }
 
-// When the maker of a stage's results drops them by itself.
-TimePoint StageRunner::DroppedAt(size_t index) const {
+// When the producer of a stage's results expires them.
+TimePoint StageRunner::ExpiryOf(size_t index) const {
   const Service* service =
       job_->config_->FindService(job_->route_->stages_[index].service_);
   return stages_[index].handles_.empty() || service == nullptr ||
                  !service->stage_pool_
              ? TimePoint::max()
              : stages_[index].done_at_ + service->stage_pool_->result_life_ -
-                   kDropReserve;
+                   kExpiryMargin;
 }
 
-bool StageRunner::HasTimeToRemake() const {
+bool StageRunner::HasTimeToRerun() const {
   Duration calls{};
   for (size_t i = 0; i < stages_.size(); ++i) {
     if (stages_[i].pieces_ > 0) {
@@ -77,7 +78,7 @@
   return SteadyNow() + calls <= job_->begin_deadline_;
 }
 
-// What waits at a pool is worked on while the stages before are.
+// Queues at a pool shrink while the stages before it run.
 Duration StageRunner::ExpectedTime(bool behind_all) const {
   std::vector<Duration> finish(stages_.size());
   Duration last{};
@@ -92,7 +93,7 @@
     }
     last = std::max(last, finish[i]);
   }
-  return last + kServerTime;
+  return last + kFirstEventTime;
 }
 
 }  // namespace citronlane
--- a/tests/unit-answered-once.cc
+++ b/tests/unit-answered-once.cc
@@ -1,13 +1,8 @@
-// Seen once on 59 gateways: the caller of a stream got a whole answer with the
-// seal of another request's; no server had been reached for its own. A request
-// whose inputs had been freed when its server refused it had to run its stages
-// again. When these failed it was refused, and then refused a second time. Its
-// caller took the second refusal for the answer to its next request on the
-// connection, and that one's answer, when it came, for the answer to the one
-// after. The refusal that comes twice is shown by the first case here. With
-// more time between the two refusals plays showed the same signs: a whole
-// answer of an earlier request, while the own one had not got past its stages.
-// That the one that was seen came about so is concluded from them.
+// Guards against a second response to one request: its caller takes it for the
+// response to its next request on the connection, and that one's for the
+// request after. It came about when a server refused a request whose inputs had
+// been freed: its stages had to run again, failed, and the request was refused
+// twice.
 
 #include <catch2/catch.hpp>
 
@@ -37,8 +32,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// A stage server and an engine of one test. The engine refuses a request once
-/// its inputs were freed; by then the stage can't make them again.
+/// A stage server and an engine. The engine refuses a request once its inputs
+/// were freed, and then the stage cannot make them again.
 class Servers {
  public:
   explicit Servers(asio::io_context* io)
@@ -120,7 +115,7 @@
 
 }  // namespace
 
-TEST_CASE("a request whose stages can't run again is refused once") {
+TEST_CASE("a request whose stages cannot run again is refused once") {
   asio::io_context io;
   Servers servers(&io);
   RelayGateway gateway(&io, PressConfig(), "engine", servers.Entries());
@@ -131,19 +126,19 @@
   CHECK(caller.replies_ == 1);
 }
 
-// Whatever a handler does, the answers on a connection stay with their
-// requests.
-TEST_CASE("a connection carries one answer a request") {
+// Whatever a handler does, each response on a connection belongs to its
+// request.
+TEST_CASE("a connection carries one response per request") {
   std::function<void(HttpExchange*, const HttpReply&)> answer;
   bool is_answered = true;
   bool is_closed = false;
-  SECTION("where a handler answers twice") {
+  SECTION("if a handler responds twice") {
     answer = [](HttpExchange* exchange, const HttpReply& reply) {
       exchange->Reply(reply);
       exchange->Reply(reply);
     };
   }
-  SECTION("where it streams after an answer") {
+  SECTION("if it streams after a response") {
     answer = [](HttpExchange* exchange, const HttpReply& reply) {
       exchange->Reply(reply);
       exchange->StartStream(reply);
@@ -151,7 +146,7 @@
       exchange->EndStream();
     };
   }
-  SECTION("where it answers after a stream") {
+  SECTION("if it responds after a stream") {
     answer = [](HttpExchange* exchange, const HttpReply& reply) {
       exchange->StartStream(HttpReply());
       exchange->Write(reply.body_);
@@ -161,12 +156,12 @@
       exchange->Reply(reply);
     };
   }
-  SECTION("where it answers not at all") {
+  SECTION("if it does not respond") {
     answer = [](HttpExchange*, const HttpReply&) {};
     is_answered = false;
     is_closed = true;
   }
-  SECTION("where its stream has no end") {
+  SECTION("if it does not end its stream") {
     answer = [](HttpExchange* exchange, const HttpReply& reply) {
       exchange->StartStream(HttpReply());
       exchange->Write(reply.body_);
--- a/tests/unit-config-updates.cc
+++ b/tests/unit-config-updates.cc
@@ -18,7 +18,7 @@
 using std::chrono::milliseconds;
 using wire::fleet::ConfigUpdate;
 
-/// Bytes that no compressor shortens, from a fixed seed.
+/// Incompressible bytes from a fixed seed.
 std::string Noise(size_t size) {
   std::string noise(size, '\0');
   uint64_t state = 1;
@@ -42,24 +42,24 @@
 
 }  // namespace
 
-TEST_CASE("a document is restored from what is sent of it") {
+TEST_CASE("a document is restored from its encoding") {
   const std::string base = Noise(kMegabyte);
   std::string document = base;
   document.insert(kMegabyte / 2, "a few bytes more");
   Error error;
 
-  SECTION("a difference costs what was changed") {
+  SECTION("the size of a difference depends on the changed bytes") {
     const auto data = EncodeDocument(document, base, &error);
     REQUIRE(data);
     CHECK(data->size() < 2000);
     CHECK(DecodeDocument(*data, base, &error) == document);
   }
-  SECTION("without a base it is whole") {
+  SECTION("without a base it is complete") {
     const auto data = EncodeDocument(document, "", &error);
     REQUIRE(data);
     CHECK(DecodeDocument(*data, "", &error) == document);
   }
-  SECTION("an empty document has its data too") {
+  SECTION("an empty document has an encoding too") {
     const auto data = EncodeDocument("", base, &error);
     REQUIRE(data);
     CHECK(DecodeDocument(*data, base, &error) == "");
@@ -84,7 +84,7 @@
   }
 }
 
-TEST_CASE("the newest document for receivers of each version") {
+TEST_CASE("the newest document for receivers of any version") {
   RecentDocuments recent(3 * kMegabyte);
   const std::string first = Noise(kMegabyte);
   Error error;
@@ -92,23 +92,23 @@
   recent.Add(5, first);
   recent.Add(8, first + "x");
 
-  SECTION("one that holds a version kept gets the difference") {
+  SECTION("a receiver of a kept version gets the difference") {
     const auto* update = recent.UpdateFrom(5, &error);
     REQUIRE(update);
     CHECK(update->version_ == 8);
     CHECK(update->base_ == 5);
     CHECK(update->data_.size() < 2000);
-    // Made once for all that hold it.
+    // Encoded once for all receivers of that version.
     CHECK(recent.UpdateFrom(5, &error) == update);
   }
-  SECTION("one that holds none, or one not kept, gets it whole") {
+  SECTION("other receivers get the full document") {
     const auto* update = recent.UpdateFrom(std::nullopt, &error);
     REQUIRE(update);
     CHECK_FALSE(update->base_);
     CHECK(DecodeDocument(update->data_, "", &error) == first + "x");
     CHECK(recent.UpdateFrom(7, &error) == update);
   }
-  SECTION("the oldest go when their bytes do not fit") {
+  SECTION("the oldest are evicted when their bytes do not fit") {
     recent.Add(9, first + "y");
     recent.Add(11, first + "z");
     CHECK(recent.bytes() <= 3 * kMegabyte);
@@ -120,7 +120,7 @@
     CHECK(recent.newest() == 20);
     CHECK(recent.bytes() == 4 * kMegabyte);
   }
-  SECTION("a lower version begins anew") {
+  SECTION("a lower version replaces all documents") {
     recent.Add(2, "{}");
     CHECK(recent.newest() == 2);
     CHECK(recent.bytes() == 2);
@@ -143,17 +143,17 @@
   recent.Add(2, Noise(1000) + "x");
   const ConfigUpdate second = Encoded(*recent.UpdateFrom(1, &error));
 
-  SECTION("from a difference to what it holds") {
+  SECTION("from a difference to the one it holds") {
     REQUIRE(receiver.Take(second, &error));
     CHECK(receiver.version() == 2);
     CHECK(receiver.document() == Noise(1000) + "x");
 
-    SECTION("and passes over what is not newer") {
+    SECTION("and ignores one that is not newer") {
       CHECK_FALSE(receiver.Take(second, &error));
       CHECK(receiver.version() == 2);
     }
-    // From a control VM that was asked when less was held here.
-    SECTION("and keeps it when the difference is to another") {
+    // Sent by a control VM that assumed an earlier version here.
+    SECTION("and keeps it when the difference has another base") {
       recent.Add(3, "{}");
       CHECK_FALSE(
           receiver.Take(Encoded(*recent.UpdateFrom(1, &error)), &error));
@@ -162,8 +162,8 @@
       CHECK(receiver.document() == "{}");
     }
   }
-  // Two clusters may have given the same number to different documents.
-  SECTION("and asks for the whole when what it holds has other content") {
+  // Two clusters may use the same version for different documents.
+  SECTION("and requests the full one when the base has other content") {
     ConfigReceiver other;
     RecentDocuments foreign(kMegabyte);
     foreign.Add(1, Noise(1001));
@@ -174,8 +174,8 @@
   }
 }
 
-// A gateway that read one large document after the other served no requests in
-// between.
+// A gateway that read large documents one after the other served no requests
+// meanwhile.
 TEST_CASE("a series of large changes leaves time for requests") {
   const auto gap = milliseconds(200);
   const int changes = 100;
@@ -194,14 +194,14 @@
     }
     now += took;
     reading += took;
-    // The oldest change that was not in force until now.
+    // The oldest change that was not in force yet.
     longest_wait =
         std::max<Duration>(longest_wait, now - gap * (newest_read + 1));
     newest_read = newest;
     now += PauseAfterUpdate(took);
   }
   CHECK(longest_wait <= milliseconds(2000));
-  // The pause is bounded, so that what takes too long takes a larger part.
+  // The pause is bounded, so slow updates take a larger fraction of the time.
   CHECK(reading <= (took <= milliseconds(200) ? now / 4 : now / 2));
 }
 
--- a/tests/unit-control-watch.cc
+++ b/tests/unit-control-watch.cc
@@ -43,7 +43,7 @@
                        return;
                      }
                      channel_ = channel;
-                     ++asked_;
+                     ++requested_;
                      Push();
                    },
                    [this](const FrameChannel*) {
@@ -54,7 +54,7 @@
     REQUIRE(listener_.Start(&error));
   }
 
-  // Says what it knows, unless it is silent.
+  // Sends what it knows, unless it is silent.
   void Push() {
     if (channel_ && !is_silent_) {
       Frame frame;
@@ -66,7 +66,7 @@
   const std::string endpoint_;
   WatchUpdate update_;
   bool is_silent_ = false;
-  int asked_ = 0;
+  int requested_ = 0;
   int confirmed_ = 0;
   int left_ = 0;
 
@@ -75,7 +75,7 @@
   FrameListener listener_;
 };
 
-/// A gateway's watch, and what came of it.
+/// A gateway's watch and the updates that it passed on.
 class Watch {
  public:
   Watch(boost::asio::io_context* io, std::vector<std::string> seeds)
@@ -127,8 +127,8 @@
 
 }  // namespace
 
-// After a loss of power of all VMs: some control VMs are back and some not, and
-// nobody leads yet.
+// After a power loss of all VMs some control VMs are back, and there is no
+// leader yet.
 TEST_CASE("a gateway without a leader") {
   boost::asio::io_context io;
   ControlVm silent(&io, FreeEndpoint(&io));
@@ -136,39 +136,40 @@
   silent.is_silent_ = true;
   Watch gateway(&io, {FreeEndpoint(&io), silent.endpoint_, back.endpoint_});
 
-  SECTION("hears all control VMs at once, whoever is silent") {
+  SECTION("watches all control VMs at once, even if some are silent") {
     back.update_.mutable_config()->set_version(7);
     back.update_.mutable_gateways()->add_gateways();
     REQUIRE(gateway.Until([&] { return gateway.config_.has_value(); }));
     CHECK(*gateway.config_ == 7);
     CHECK(gateway.gateways_ == 1);
     CHECK_FALSE(gateway.watch_.is_connected());
-    // It took no other connection for that.
-    CHECK(back.asked_ == 1);
+    // That took no further connection.
+    CHECK(back.requested_ == 1);
     REQUIRE(gateway.Until([&] { return back.confirmed_ == 1; }));
   }
 
-  SECTION("hears of the leader from itself, on a connection that is there") {
-    REQUIRE(gateway.Until([&] { return back.asked_ == 1; }));
+  SECTION("learns of the leader on its existing connection") {
+    REQUIRE(gateway.Until([&] { return back.requested_ == 1; }));
     back.update_.set_leads(true);
     back.Push();
     REQUIRE(gateway.Until([&] { return gateway.watch_.is_connected(); }));
-    CHECK(back.asked_ == 1);
-    // The others are left then.
-    REQUIRE(gateway.Until([&] { return silent.left_ == silent.asked_; }));
+    CHECK(back.requested_ == 1);
+    // The other connections are closed then.
+    REQUIRE(gateway.Until([&] { return silent.left_ == silent.requested_; }));
 
-    SECTION("and looks for the next one everywhere when it leads no more") {
+    SECTION("and watches all again when it loses its leadership") {
       silent.is_silent_ = false;
       silent.update_.set_leads(true);
       back.update_.set_leads(false);
       back.Push();
       REQUIRE(gateway.Until([&] { return !gateway.watch_.is_connected(); }));
-      const int before = silent.asked_;
+      const int before = silent.requested_;
       REQUIRE(gateway.Until([&] { return gateway.watch_.is_connected(); }));
-      CHECK(silent.asked_ == before + 1);
+      CHECK(silent.requested_ == before + 1);
     }
-    // Control sends no further configuration before the last one is confirmed.
-    SECTION("and confirms a configuration that it has no use for") {
+    // Control sends no further configuration before the last one is
+    // acknowledged.
+    SECTION("and acknowledges a configuration that it does not apply") {
       gateway.config_ = 9;
       back.update_.set_leads(false);
       back.update_.mutable_config()->set_version(7);
@@ -176,7 +177,7 @@
       REQUIRE(gateway.Until([&] { return back.confirmed_ == 1; }));
       CHECK(gateway.config_ == 9);
     }
-    SECTION("and takes no list of gateways from one that does not lead") {
+    SECTION("and takes no gateways from a VM that is not the leader") {
       const size_t updates = gateway.updates_;
       back.update_.set_leads(false);
       back.update_.mutable_gateways()->add_gateways();
@@ -186,25 +187,26 @@
     }
   }
 
-  SECTION("asks the one that others name") {
+  SECTION("connects to the leader that others name") {
     ControlVm leader(&io, FreeEndpoint(&io));
     leader.update_.set_leads(true);
     back.update_.set_leader(leader.endpoint_);
     back.Push();
     REQUIRE(gateway.Until([&] { return gateway.watch_.is_connected(); }));
-    CHECK(leader.asked_ == 1);
+    CHECK(leader.requested_ == 1);
   }
 }
 
-// A control VM that gives hundreds of gateways a large configuration at once:
-// each dropped it as silent before the frame was whole, and asked anew.
-TEST_CASE("a control VM whose frame comes in parts is not silent") {
+// Guards against an endless loop of reconnects: a control VM sent hundreds of
+// gateways a large configuration, and each dropped it as silent before the
+// frame was complete.
+TEST_CASE("a control VM whose frame is partly received is not silent") {
   namespace asio = boost::asio;
   asio::io_context io;
   const std::string endpoint = FreeEndpoint(&io);
   asio::ip::tcp::acceptor acceptor(io, *ParseEndpoint(endpoint));
   Watch gateway(&io, {endpoint});
-  // It was asked a second ago.
+  // The request was sent a second ago.
   gateway.watch_.Tick(SteadyNow() - std::chrono::seconds(1));
   asio::ip::tcp::socket control(io);
   acceptor.accept(control);
--- a/tests/unit-engine-placement.cc
+++ b/tests/unit-engine-placement.cc
@@ -45,7 +45,7 @@
   return view;
 }
 
-/// One gateway of a fleet in which `owner` places the requests.
+/// One gateway of a fleet with `owner` as the placement owner.
 class Gateway {
  public:
   Gateway(boost::asio::io_context* io,
@@ -91,9 +91,10 @@
 
 }  // namespace
 
-// Many gateways send long prompts at the same time. Each by itself sees none of
-// the others' and would send a prompt part's requests to its home alone.
-TEST_CASE("one gateway places the requests of all on engines") {
+// Many gateways send long prompts at the same time. A gateway by itself does
+// not know the others' and would send all requests of a segment to its
+// preferred engine.
+TEST_CASE("a placement owner assigns the requests of all gateways") {
   boost::asio::io_context io;
   const std::string owner_endpoint = FreeEndpoint(&io);
   auto owner = std::make_unique<Gateway>(&io, owner_endpoint, owner_endpoint);
@@ -110,17 +111,17 @@
     const std::vector<PromptPart> prompt = {{"shared", 100}, {"own", tokens}};
     EngineRouter::Call call;
     call.prompt_ = prompt;
-    const uint64_t question = gateway->placement_.Ask(
+    const uint64_t question = gateway->placement_.RequestEngine(
         purpose, kService, call, {},
         [server](const std::string& named) { *server = named; });
     REQUIRE(until([&] { return !server->empty(); }));
     return question;
   };
 
-  CHECK(owner->placement_.IsHere(kService));
-  CHECK_FALSE(first.placement_.IsHere(kService));
+  CHECK(owner->placement_.IsPlacementOwner(kService));
+  CHECK_FALSE(first.placement_.IsPlacementOwner(kService));
 
-  SECTION("long prompts of different gateways do not meet") {
+  SECTION("long prompts of different gateways go to different engines") {
     std::string one;
     std::string two;
     ask(&first, Purpose::kStart, 9000, &one);
@@ -129,38 +130,38 @@
     CHECK(owner->placement_.placed() == 2);
   }
 
-  SECTION("requests that share a part meet once the first prompt is read") {
+  SECTION("requests that share a segment share an engine that has read it") {
     std::string one;
     std::string two;
     const uint64_t question = ask(&first, Purpose::kStart, 9000, &one);
-    first.placement_.FirstEvent(question);
-    first.placement_.Finished(question, CallOutcome::kSuccess);
+    first.placement_.ReportFirstEvent(question);
+    first.placement_.ReportFinished(question, CallOutcome::kSuccess);
     REQUIRE(until([&] { return owner->placement_.placed() == 0; }));
     ask(&second, Purpose::kStart, 9000, &two);
     CHECK(one == two);
   }
 
-  SECTION("a plan takes no engine's time") {
+  SECTION("a plan does not count as load") {
     std::string one;
     std::string two;
-    first.placement_.Finished(ask(&first, Purpose::kPlan, 9000, &one),
-                              CallOutcome::kCancelled);
+    first.placement_.ReportFinished(ask(&first, Purpose::kPlan, 9000, &one),
+                                    CallOutcome::kCancelled);
     ask(&second, Purpose::kPlan, 9000, &two);
     CHECK(one == two);
     CHECK(owner->placement_.placed() == 0);
   }
 
-  SECTION("an engine that failed one gateway is left by all") {
+  SECTION("an engine that failed for one gateway is avoided by all") {
     std::string one;
     std::string two;
     const uint64_t question = ask(&first, Purpose::kStart, 10, &one);
-    first.placement_.Finished(question, CallOutcome::kTimeout);
+    first.placement_.ReportFinished(question, CallOutcome::kTimeout);
     REQUIRE(until([&] { return owner->placement_.placed() == 0; }));
     ask(&second, Purpose::kStart, 10, &two);
     CHECK(one != two);
   }
 
-  SECTION("what a lost gateway ran is over") {
+  SECTION("the requests of a lost gateway no longer count") {
     std::string one;
     {
       Gateway lost(&io, FreeEndpoint(&io), owner_endpoint);
@@ -170,31 +171,31 @@
     CHECK(until([&] { return owner->placement_.placed() == 0; }));
   }
 
-  SECTION("one that leaves three questions unanswered is passed over") {
+  SECTION("an owner with three unanswered questions is excluded") {
     owner->is_silent_ = true;
     for (int i = 0; i < 3; ++i) {
-      CHECK_FALSE(first.placement_.IsHere(kService));
-      const uint64_t question =
-          first.placement_.Ask(Purpose::kStart, kService, EngineRouter::Call(),
-                               {}, [](const std::string&) {});
-      first.placement_.NoAnswer(question);
-      first.placement_.Finished(question, CallOutcome::kCancelled);
+      CHECK_FALSE(first.placement_.IsPlacementOwner(kService));
+      const uint64_t question = first.placement_.RequestEngine(
+          Purpose::kStart, kService, EngineRouter::Call(), {},
+          [](const std::string&) {});
+      first.placement_.ReportNoReply(question);
+      first.placement_.ReportFinished(question, CallOutcome::kCancelled);
     }
-    // No other gateway is known to this one.
-    CHECK(first.placement_.IsHere(kService));
+    // This gateway knows no other one.
+    CHECK(first.placement_.IsPlacementOwner(kService));
   }
 
-  SECTION("one that is gone is passed over at once") {
+  SECTION("an owner that is gone is excluded immediately") {
     owner.reset();
-    const uint64_t question =
-        first.placement_.Ask(Purpose::kStart, kService, EngineRouter::Call(),
-                             {}, [](const std::string&) {});
-    CHECK(until([&] { return first.placement_.IsHere(kService); }));
-    first.placement_.Finished(question, CallOutcome::kCancelled);
+    const uint64_t question = first.placement_.RequestEngine(
+        Purpose::kStart, kService, EngineRouter::Call(), {},
+        [](const std::string&) {});
+    CHECK(until([&] { return first.placement_.IsPlacementOwner(kService); }));
+    first.placement_.ReportFinished(question, CallOutcome::kCancelled);
   }
 }
 
-// Hundreds of engines: one gateway for all of them would be at its limit.
+// Hundreds of engines would be too many for one placement owner.
 TEST_CASE("engines divided by failure domain") {
   boost::asio::io_context io;
   const std::string endpoint_a = FreeEndpoint(&io);
@@ -224,20 +225,20 @@
   };
   const auto place_in = [&](const PoolPart& part) {
     std::string server;
-    asker.placement_.Ask(
+    asker.placement_.RequestEngine(
         Purpose::kStart, part, EngineRouter::Call(), {},
         [&server](const std::string& named) { server = named; });
     REQUIRE(until([&] { return !server.empty(); }));
     return server;
   };
 
-  SECTION("are placed on by the gateway of their domain") {
-    CHECK(asker.placement_.PartIn(kService, "a") == part_a);
-    CHECK(asker.placement_.PartIn(kService, "b") == part_b);
-    CHECK(owner_a.placement_.IsHere(part_a));
-    CHECK_FALSE(owner_a.placement_.IsHere(part_b));
+  SECTION("are assigned by the placement owner of their domain") {
+    CHECK(asker.placement_.PartitionIn(kService, "a") == part_a);
+    CHECK(asker.placement_.PartitionIn(kService, "b") == part_b);
+    CHECK(owner_a.placement_.IsPlacementOwner(part_a));
+    CHECK_FALSE(owner_a.placement_.IsPlacementOwner(part_b));
   }
-  SECTION("and only on these, however busy they are") {
+  SECTION("which assigns only these, however busy they are") {
     for (int i = 0; i < 6; ++i) {
       CHECK(place_in(part_a).front() == 'a');
     }
@@ -245,15 +246,16 @@
     CHECK(owner_a.placement_.placed() == 6);
     CHECK(owner_b->placement_.placed() == 1);
   }
-  SECTION("are left to the asker while that gateway can't be reached") {
+  SECTION("have no placement owner while theirs is unreachable") {
     owner_b.reset();
-    asker.placement_.Ask(Purpose::kStart, part_b, EngineRouter::Call(), {},
-                         [](const std::string&) {});
-    CHECK(until([&] { return !asker.placement_.PartIn(kService, "b"); }));
-    CHECK(asker.placement_.PartIn(kService, "a") == part_a);
+    asker.placement_.RequestEngine(Purpose::kStart, part_b,
+                                   EngineRouter::Call(), {},
+                                   [](const std::string&) {});
+    CHECK(until([&] { return !asker.placement_.PartitionIn(kService, "b"); }));
+    CHECK(asker.placement_.PartitionIn(kService, "a") == part_a);
   }
-  SECTION("are left to the asker in a domain that has no part") {
-    CHECK_FALSE(asker.placement_.PartIn(kService, "c"));
+  SECTION("have no placement owner in a domain without a partition") {
+    CHECK_FALSE(asker.placement_.PartitionIn(kService, "c"));
   }
 }
 
--- a/tests/unit-not-run.cc
+++ b/tests/unit-not-run.cc
@@ -1,7 +1,6 @@
-// "Not run" promises that no piece of a request was handed to a server. A
-// request that ended while a stage of it was still with a pool or its owner was
-// refused with that promise, whatever had become of the stage. Found on
-// reading; the first two cases showed it.
+// "Not run" promises that no piece of a request was handed to a server. Guards
+// against a request that is refused with that promise while one of its stages
+// is still at a pool or its owner.
 
 #include <catch2/catch.hpp>
 
@@ -59,7 +58,7 @@
   RelayGateway* gateway = nullptr;
   HttpListenerHooks hooks;
   hooks.serve_ = [&](size_t, const HttpRequest&, HttpExchange* exchange) {
-    // The gateway ends while the server works.
+    // The gateway shuts down while the server works.
     asio::post(io, [&gateway] { gateway->service()->GiveUpAll(); });
     while (!exchange->caller_gone()) {
       exchange->Wait();
@@ -95,7 +94,7 @@
   CHECK(received > 0);
 }
 
-TEST_CASE("a request whose stage waits here for a server has not run") {
+TEST_CASE("a request whose stage waits for a server has not run") {
   asio::io_context io;
   RelayGateway relay(&io, PressConfig(), "engine", {});
   const RecordedCaller caller = relay.Ask("a", one_piece, milliseconds(400));
