--- a/tests/unit-pool-parts.cc
+++ b/tests/unit-pool-parts.cc
@@ -81,23 +81,23 @@
           std::vector<PoolPart>{kStage});
     CHECK(DivideStage({}) == std::vector<PoolPart>{kStage});
   }
-  SECTION("by failure domain when they are large") {
+  SECTION("by failure domain if they are large") {
     CHECK(DivideStage({{"a", 9}, {"b", 9}, {"c", 9}}) == by_domain);
   }
-  SECTION("but for domains of few servers, which share a part") {
+  SECTION("except domains of few servers, which share a partition") {
     CHECK(DivideStage({{"a", 20}, {"b", 9}, {"c", 2}, {"d", 3}}) ==
           std::vector<PoolPart>{{kStage, "a"}, {kStage, "b"}, kStage});
   }
-  SECTION("and stay so when some servers go") {
+  SECTION("and stay divided when some servers leave") {
     const Owners held = OwnersOf(by_domain);
     CHECK(DivideStage({{"a", 9}, {"b", 7}, {"c", 2}}, held) == by_domain);
     CHECK(DivideStage({{"a", 2}, {"b", 2}, {"c", 2}}, held) ==
           std::vector<PoolPart>{kStage});
-    // A domain without servers needs nobody.
+    // A domain without servers needs no owner.
     CHECK(DivideStage({{"a", 9}, {"b", 9}}, held) ==
           std::vector<PoolPart>{{kStage, "a"}, {kStage, "b"}});
   }
-  SECTION("without servers that leave") {
+  SECTION("without counting leaving servers") {
     auto servers = ServersIn(kStage, {{"a", 13}, {"b", 13}});
     for (size_t i = 0; i < 13; ++i) {
       servers[i].leaving_ = true;
@@ -105,7 +105,7 @@
     const std::vector<PooledService> services{{kStage, false}};
     CHECK(DividePools(services, servers, {}) == std::vector<PoolPart>{kStage});
   }
-  SECTION("engines only when they are many") {
+  SECTION("with a higher limit for engines") {
     const std::vector<PooledService> services{{kEngines, true}};
     CHECK(DividePools(services, ServersIn(kEngines, {{"a", 30}, {"b", 30}}),
                       {}) == std::vector<PoolPart>{kEngines});
@@ -114,7 +114,7 @@
   }
 }
 
-TEST_CASE("each server is in one part at any time") {
+TEST_CASE("each server is in one partition at any time") {
   CHECK(rc::check("whatever servers come and go", [] {
     Owners held;
     for (int round = 0; round < 8; ++round) {
@@ -144,8 +144,8 @@
   }));
 }
 
-// Hundreds of gateways come, go, stop and start again.
-TEST_CASE("parts keep one gateway each") {
+// Hundreds of gateways join, leave, shut down and restart.
+TEST_CASE("each partition has one owner") {
   CHECK(rc::check("whatever gateways come and go", [] {
     const std::vector<PooledService> services{{kStage, false}};
     const auto servers =
@@ -177,7 +177,7 @@
         known->stopping_ = !known->stopping_;
       }
       assignment.Update(parts, gateways, now);
-      // Other owners never come under a number that was given before.
+      // A number is never used again for different owners.
       if (assignment.owners() != owners) {
         RC_ASSERT(assignment.number() > number);
       }
@@ -189,15 +189,15 @@
       }
       RC_ASSERT(assignment.owners().size() == parts.size());
       RC_ASSERT(distinct.size() == parts.size());
-      // One gateway changed in a step, and another may have been missed since
-      // a step before; each has one part.
+      // One gateway changed in this step, and another may be missing since an
+      // earlier one; each owns one partition.
       RC_ASSERT(moved <= 2);
       number = assignment.number();
       owners = assignment.owners();
     }
   }));
 
-  SECTION("near its servers") {
+  SECTION("in the failure domain of its servers") {
     PoolAssignment assignment;
     TimePoint now{seconds(100)};
     assignment.StartLeading(now, 1);
@@ -216,10 +216,10 @@
   }
 }
 
-// An owner that is short of its processor or its link answers late. When all
-// its callers took it for lost and each chose a successor, many gateways called
-// the same servers.
-TEST_CASE("a part whose owner can't be reached") {
+// Guards against several owners of one partition's servers: an overloaded owner
+// replied late, its clients assumed that it was lost, and each chose a
+// successor.
+TEST_CASE("a partition whose owner is unreachable") {
   FleetView view;
   view.SetOwners(3, {{{kStage, "a"}, "g1"},
                      {{kStage, "b"}, "g2"},
@@ -229,53 +229,53 @@
       {{"g1", "a", false}, {"g2", "b", false}, {"g9", "a", false}});
   OwnerTable table(&view, "g9");
   const TimePoint now{seconds(100)};
-  REQUIRE(table.PartFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
+  REQUIRE(table.PartitionFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
   table.MarkLost("g1", now);
 
-  SECTION("is not run by anybody else") {
+  SECTION("gets no other owner") {
     CHECK(table.OwnerOf({kStage, "a"}, now) == "g1");
   }
-  SECTION("gets no work; the other parts share it") {
+  SECTION("gets no work; the other partitions share it") {
     std::map<PoolPart, int> chosen;
     for (uint64_t spread = 0; spread < 100; ++spread) {
-      ++chosen[table.PartFor(kStage, "a", spread, now)];
+      ++chosen[table.PartitionFor(kStage, "a", spread, now)];
     }
     CHECK(chosen.count({kStage, "a"}) == 0);
     CHECK(chosen[{kStage, "b"}] == 50);
     CHECK(chosen[{kStage, "c"}] == 50);
   }
-  SECTION("is used again after a while, or once control names another one") {
-    CHECK(table.PartFor(kStage, "a", 7, now + seconds(3)) ==
+  SECTION("is used again after a while, or once control names an owner") {
+    CHECK(table.PartitionFor(kStage, "a", 7, now + seconds(3)) ==
           PoolPart(kStage, "a"));
     Owners owners = view.owners();
     owners[{kStage, "a"}] = "g5";
     view.SetOwners(4, owners);
-    CHECK(table.PartFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
+    CHECK(table.PartitionFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
     CHECK(table.OwnerOf({kStage, "a"}, now) == "g5");
   }
-  SECTION("is asked all the same when there is no other") {
+  SECTION("is used if there is no other partition") {
     for (const char* gateway : {"g2", "g3"}) {
       table.MarkLost(gateway, now);
     }
-    CHECK(table.OwnerOf(table.PartFor(kStage, "a", 7, now), now) != "g9");
+    CHECK(table.OwnerOf(table.PartitionFor(kStage, "a", 7, now), now) != "g9");
   }
-  SECTION("has a successor only where the pool is whole") {
+  SECTION("has a successor only if the pool is undivided") {
     table.MarkLost("g4", now);
     CHECK(table.OwnerOf("small", now) != "g4");
   }
 }
 
-TEST_CASE("work of a domain without a part goes to the rest") {
+TEST_CASE("work of a domain without a partition goes to the rest") {
   FleetView view;
   view.SetOwners(3, {{{kStage, "a"}, "g1"}, {kStage, "g2"}});
   const OwnerTable table(&view, "g9");
   const TimePoint now{seconds(100)};
-  CHECK(table.PartFor(kStage, "d", 7, now) == PoolPart(kStage));
-  CHECK(table.PartFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
+  CHECK(table.PartitionFor(kStage, "d", 7, now) == PoolPart(kStage));
+  CHECK(table.PartitionFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
 }
 
-// A loss of power of all VMs under load: for a second nobody has named owners,
-// and one gateway for a whole pool would be more than it can carry.
+// After a power loss of all VMs no owners are named for a second, and one
+// gateway could not run an undivided large pool.
 TEST_CASE("a new fleet divides its pools before control has named owners") {
   const auto servers =
       ServersIn(kStage, {{"a", 9}, {"b", 9}, {"c", 9}, {"d", 9}, {"e", 8}});
@@ -293,16 +293,16 @@
     known.push_back({gateway.endpoint_, gateway.failure_domain_, false});
   }
   view.SetGateways(known);
-  CHECK(view.PartsOf(kStage) == std::vector<PoolPart>{kStage});
-  const uint64_t before = view.parts_number();
+  CHECK(view.PartitionsOf(kStage) == std::vector<PoolPart>{kStage});
+  const uint64_t before = view.partitions_number();
   view.SetServers(servers, TimePoint(seconds(1)));
-  CHECK(view.parts_number() > before);
-  const auto parts = view.PartsOf(kStage);
+  CHECK(view.partitions_number() > before);
+  const auto parts = view.PartitionsOf(kStage);
   CHECK(parts.size() == 5);
-  CHECK(view.PartIn(kStage, "a") == PoolPart(kStage, "a"));
+  CHECK(view.PartitionIn(kStage, "a") == PoolPart(kStage, "a"));
   CHECK(view.ServersIn({kStage, "a"}).size() == 9);
 
-  SECTION("alike at all gateways, and the first leader names the same") {
+  SECTION("alike at all gateways and the first leader") {
     PoolAssignment assignment;
     const TimePoint now{seconds(100)};
     assignment.StartLeading(now, 1);
@@ -314,39 +314,39 @@
       CHECK(one.OwnerOf(part, now) == other.OwnerOf(part, now));
       same += one.OwnerOf(part, now) == assignment.owners().at(part) ? 1 : 0;
     }
-    // Two parts whose successor is one gateway are told apart by the leader.
+    // The leader separates two partitions whose successor is the same gateway.
     CHECK(same >= parts.size() - 1);
   }
-  SECTION("and goes by what control names from then on") {
+  SECTION("and uses the owners that control names from then on") {
     view.SetOwners(1, {{kStage, "g7"}});
-    CHECK(view.PartsOf(kStage) == std::vector<PoolPart>{kStage});
-    CHECK(view.PartIn(kStage, "a") == PoolPart(kStage));
+    CHECK(view.PartitionsOf(kStage) == std::vector<PoolPart>{kStage});
+    CHECK(view.PartitionIn(kStage, "a") == PoolPart(kStage));
   }
 }
 
-TEST_CASE("work that waits in a part belongs elsewhere") {
+TEST_CASE("work that waits in a partition belongs elsewhere") {
   FleetView view;
   const PoolPart part_a(kStage, "a");
 
-  SECTION("not while nobody has been named") {
-    CHECK_FALSE(view.IsElsewhere(kStage, "g9"));
+  SECTION("not while no owner is named") {
+    CHECK_FALSE(view.BelongsElsewhere(kStage, "g9"));
   }
-  SECTION("when the pool was divided") {
+  SECTION("if the pool was divided") {
     view.SetOwners(1, {{part_a, "g9"}});
-    CHECK(view.IsElsewhere(kStage, "g9"));
-    CHECK_FALSE(view.IsElsewhere(part_a, "g9"));
+    CHECK(view.BelongsElsewhere(kStage, "g9"));
+    CHECK_FALSE(view.BelongsElsewhere(part_a, "g9"));
   }
-  SECTION("when the pool became whole") {
+  SECTION("if the pool was merged") {
     view.SetOwners(1, {{kStage, "g9"}});
-    CHECK(view.IsElsewhere(part_a, "g9"));
+    CHECK(view.BelongsElsewhere(part_a, "g9"));
   }
-  SECTION("when the part has another gateway") {
+  SECTION("if the partition has another owner") {
     view.SetOwners(1, {{part_a, "g1"}});
-    CHECK(view.IsElsewhere(part_a, "g9"));
+    CHECK(view.BelongsElsewhere(part_a, "g9"));
   }
-  SECTION("not at the successor of a whole pool's gateway") {
+  SECTION("not at the successor of an undivided pool's owner") {
     view.SetOwners(1, {{kStage, "g1"}});
-    CHECK_FALSE(view.IsElsewhere(kStage, "g9"));
+    CHECK_FALSE(view.BelongsElsewhere(kStage, "g9"));
   }
 }
 
--- a/tests/unit-relay-service.cc
+++ b/tests/unit-relay-service.cc
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-// A loss of power of all VMs under load: callers come to gateways that are back
-// before any control VM could give them a configuration.
+// After a power loss of all VMs callers reach gateways before any control VM
+// can send these a configuration.
 TEST_CASE("requests before the first configuration") {
   boost::asio::io_context io;
   Duration time_left = seconds(6);
@@ -60,20 +60,20 @@
   request.headers_ = {{"Host", "h"}};
   RecordedCaller caller(&io);
 
-  SECTION("wait for it") {
+  SECTION("wait for the configuration") {
     boost::asio::post(io, [&] {
       ServingConfig::Parts parts;
       parts.version_ = 1;
       view.SetConfig(std::make_shared<const ServingConfig>(parts));
-      service.ViewArrived();
+      service.OnViewReady();
     });
     service.Serve(request, &caller);
     REQUIRE(caller.reply_);
-    // It names no such route: an answer by the configuration that came.
+    // The response follows the new configuration, which has no such route.
     CHECK(caller.reply_->status_ == 404);
   }
-  SECTION("and for the first list of servers") {
-    // All servers would seem to be gone: it would be refused at once.
+  SECTION("wait for the first server list") {
+    // Without the list no server is known, and the request would be refused.
     ServingConfig::Parts parts;
     parts.version_ = 1;
     Service service_declared;
@@ -97,19 +97,19 @@
     CHECK(has_left);
     CHECK_FALSE(caller.reply_);
   }
-  SECTION("not for long against the time that the caller has") {
+  SECTION("wait only a fraction of the caller's remaining time") {
     time_left = milliseconds(4);
     service.Serve(request, &caller);
     REQUIRE(caller.reply_);
     CHECK(caller.reply_->status_ == 503);
   }
-  SECTION("not when the process ends") {
+  SECTION("do not wait when the process ends") {
     boost::asio::post(io, [&] { service.GiveUpAll(); });
     service.Serve(request, &caller);
     REQUIRE(caller.reply_);
     CHECK(caller.reply_->status_ == 503);
   }
-  SECTION("not for callers that leave") {
+  SECTION("do not wait for callers that are gone") {
     boost::asio::post(io, [&] { caller.Leave(); });
     service.Serve(request, &caller);
     CHECK_FALSE(caller.reply_);
--- a/tests/unit-relay.cc
+++ b/tests/unit-relay.cc
@@ -58,7 +58,7 @@
   options.ratio_ = 0.2;
   options.extra_ = 56;
 
-  SECTION("all nodes together stay below the bound in any window") {
+  SECTION("all gateways together stay below the bound in any window") {
     constexpr size_t kNodes = 8;
     constexpr int kSteps = 6000;
     std::mt19937 random(7);
@@ -68,7 +68,7 @@
     TimePoint now{seconds(100)};
     for (int step = 0; step < kSteps; ++step) {
       now += milliseconds(10);
-      // Traffic that falls to nothing and comes back.
+      // Traffic that stops and returns.
       const bool is_busy = step / 1000 % 2 == 0;
       RepeatBudget& node = nodes[random() % kNodes];
       if (is_busy && random() % 2 == 0) {
@@ -94,7 +94,7 @@
     CHECK(repeats.size() > 100);
   }
 
-  SECTION("more nodes have smaller shares") {
+  SECTION("a gateway's share shrinks with their number") {
     RepeatBudget few(options);
     RepeatBudget many(options);
     const TimePoint now{seconds(1)};
@@ -121,7 +121,7 @@
   EngineRouter::Call call;
   call.prompt_ = prompt;
 
-  SECTION("requests of a session meet at one engine, whoever sends them") {
+  SECTION("requests of a session go to one engine from any gateway") {
     EngineRouter other(seconds(10));
     other.Update(Pointers(servers));
     const auto home = router.Choose(now, call, {});
@@ -138,7 +138,7 @@
     CHECK(homes.size() == servers.size());
   }
 
-  SECTION("a home with much to read passes the request on") {
+  SECTION("a preferred engine with much to read gets no more") {
     const auto home = *router.Choose(now, call, {});
     double tokens = 0;
     for (int i = 0; i < 3; ++i) {
@@ -152,7 +152,7 @@
     CHECK(*router.Choose(now, call, {}) == home);
   }
 
-  SECTION("an engine that failed is left for a while") {
+  SECTION("an engine that failed is excluded for a while") {
     const auto home = *router.Choose(now, call, {});
     router.OnStart(home, now, call);
     router.OnFinish(home, now, CallOutcome::kConnectFailed, 0);
@@ -160,7 +160,7 @@
     CHECK(*router.Choose(now + seconds(1), call, {}) == home);
   }
 
-  SECTION("when all have failed one is tried all the same") {
+  SECTION("one engine is tried even if all have failed") {
     for (const BackendServer& server : servers) {
       router.OnStart(server.id_, now, call);
       router.OnFinish(server.id_, now, CallOutcome::kTimeout, 0);
@@ -218,7 +218,7 @@
   FleetView view;
   const TimePoint now{seconds(100)};
 
-  SECTION("an older configuration never comes back") {
+  SECTION("an older configuration is never taken") {
     ServingConfig::Parts parts;
     parts.version_ = 5;
     const auto newer = std::make_shared<const ServingConfig>(parts);
@@ -230,7 +230,7 @@
     CHECK(view.config()->version() == 5);
   }
 
-  SECTION("an older list never comes back") {
+  SECTION("an older list is never taken") {
     view.SetServers(Engines(3), now);
     view.SetServers(Engines(2), now - seconds(1));
     CHECK(view.ServersOf("m").size() == 3);
@@ -266,7 +266,7 @@
     CHECK_FALSE(view.ServersOf("m")[1]->leaving_);
   }
 
-  SECTION("a server that starts again under its name is another one") {
+  SECTION("a restarted server of the same name is another server") {
     auto servers = Engines(2);
     view.SetServers(servers, now);
     servers[0].id_ = "e0@7";
@@ -275,14 +275,14 @@
     CHECK(view.FindServer("e0") == nullptr);
     CHECK(view.FindServer("e0@7")->name_ == "e0");
     CHECK(view.FindServer("e1") != nullptr);
-    // A list of before arrives late.
+    // A list from before the restart arrives late.
     view.SetServers(Engines(2), now + seconds(2));
     CHECK(view.FindServer("e0") == nullptr);
     CHECK(view.FindServer("e0@7") != nullptr);
     CHECK(view.starts().outdated() == 1);
   }
 
-  SECTION("shares never grow because gateways are out of sight") {
+  SECTION("shares never grow when gateways are not listed") {
     CHECK(view.GatewayCount() >= 8);
     view.SetGateways(std::vector<FleetView::Gateway>(6));
     CHECK(view.GatewayCount() == 6);
@@ -291,8 +291,8 @@
   }
 }
 
-// A burst of a kind with long prompts that share parts, seen as a whole.
-TEST_CASE("engines for a router that sees all requests") {
+// A burst of requests with long prompts that share segments.
+TEST_CASE("engine router that sees all requests") {
   EngineRouter router(seconds(10));
   const auto servers = Engines(6);
   router.Update(Pointers(servers));
@@ -305,11 +305,13 @@
   REQUIRE(router.OnStart(keeper, now, call) == 6000);
   router.OnFirstEvent(keeper, 6000);
 
-  SECTION("a kept part is not read again") {
+  SECTION("a cached segment is not read again") {
     CHECK(*router.Choose(now, call, {}) == keeper);
     CHECK(router.OnStart(keeper, now, call) == 2000);
   }
-  SECTION("reading it elsewhere is worth a wait of four times its length") {
+  SECTION(
+      "a wait below four times the read time is preferred to a read "
+      "elsewhere") {
     EngineRouter::Call queue;
     const std::vector<PromptPart> other = {{"x", 10}, {"own", 1900}};
     queue.prompt_ = other;
@@ -321,14 +323,14 @@
     router.OnStart(keeper, now, queue);
     CHECK(*router.Choose(now, call, {}) != keeper);
   }
-  SECTION("but not when nobody has used it lately") {
+  SECTION("but not if it was not used recently") {
     for (int i = 0; i < 5; ++i) {
       router.OnStart(keeper, now, call);
     }
     CHECK(*router.Choose(now + seconds(5), call, {}) == keeper);
     CHECK(*router.Choose(now + seconds(12), call, {}) != keeper);
   }
-  SECTION("a long prompt goes where it holds up few others") {
+  SECTION("a long prompt goes where it delays few others") {
     const std::vector<PromptPart> parts = {{"cold", 0}, {"own", 40000}};
     EngineRouter::Call large;
     large.prompt_ = parts;
@@ -344,8 +346,8 @@
   }
 }
 
-TEST_CASE("an engine that starts again has no past") {
-  // All engines serve one hot prompt; its home fails and starts again.
+TEST_CASE("a restarted engine has no history") {
+  // All requests share one prompt; its preferred engine fails and restarts.
   EngineRouter router(seconds(10));
   auto servers = Engines(3);
   router.Update(Pointers(servers));
@@ -364,8 +366,8 @@
     }
   }
   router.Update(Pointers(servers));
-  // What the old start was suspended for does not hold for the new one, and an
-  // answer to the old one's call changes nothing.
+  // The suspension of the previous incarnation does not apply to the new one,
+  // and a reply to the previous one's call changes nothing.
   std::vector<std::string> others;
   for (const BackendServer& server : servers) {
     if (server.started_ms_ == 0) {
--- a/tests/unit-stage-codec.cc
+++ b/tests/unit-stage-codec.cc
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Clocks of two VMs have nothing in common.
+// The clocks of two VMs are unrelated.
 constexpr TimePoint kSender{seconds(100)};
 constexpr TimePoint kReceiver{seconds(7000)};
 
@@ -55,7 +55,7 @@
     CHECK(read.inputs_until_ == kReceiver + milliseconds(3500));
   }
 
-  SECTION("whose target is over are late at the receiver too") {
+  SECTION("whose target has passed are late at the receiver too") {
     task.target_ = kSender - milliseconds(300);
     EncodeTask(task, kSender, &job);
     CHECK(DecodeTask(job, kReceiver).target_ == kReceiver);
--- a/tests/unit-stage-domains.cc
+++ b/tests/unit-stage-domains.cc
@@ -30,8 +30,8 @@
 
 constexpr const char* kOwn = "127.0.0.1:1";
 
-/// A gateway that has both parts of the pool "press", and a request that needs
-/// one piece of it. Nothing is sent to a server.
+/// A gateway that owns both partitions of the pool "press", and a request that
+/// needs one piece of it. Nothing is sent to a server.
 class TwoDomains {
  public:
   explicit TwoDomains(bool is_divided = true, bool has_list = true) {
@@ -62,7 +62,7 @@
         &job_, &view_, &owners_, std::make_shared<Waker>(&io_, &caller_));
   }
 
-  /// Announces single pieces of others that go before the request's.
+  /// Announces single pieces of other requests, which come before this one's.
   void Fill(const std::string& domain, int pieces) {
     StageForecast forecast = ForecastOf(1);
     forecast.target_ = SteadyNow() + seconds(5);
@@ -119,9 +119,9 @@
 
 }  // namespace
 
-// A burst of the requests whose prompts have their home in one failure domain,
-// while another one has servers free.
-TEST_CASE("a request whose home domain is full") {
+// A burst of requests whose prompts prefer one failure domain, while another
+// one has free servers.
+TEST_CASE("a request whose preferred domain is out of capacity") {
   TwoDomains fleet;
   StageRunner& runner = *fleet.runner();
   REQUIRE(runner.IsDivided());
@@ -135,14 +135,14 @@
       CHECK(runner.OtherDomain(random) == "b");
     }
   }
-  SECTION("goes where it should be done sooner, and is withdrawn at home") {
+  SECTION("moves to a domain that is expected to be faster") {
     const Duration with_it = fleet.WaitIn("a");
     CHECK(runner.CompareWith("b") == "b");
     CHECK(runner.ExpectedTime(false) < at_home);
     CHECK(fleet.WaitIn("a") < with_it);
     CHECK(fleet.WaitIn("b") > Duration());
   }
-  SECTION("stays where the other one is fuller, and is withdrawn there") {
+  SECTION("stays if the other domain is expected to be slower") {
     fleet.Fill("b", 200);
     const Duration before = fleet.WaitIn("b");
     CHECK(runner.CompareWith("b") == "a");
@@ -151,15 +151,15 @@
   }
 }
 
-TEST_CASE("a request of a pool that is whole has no other domain") {
+TEST_CASE("a request of an undivided pool has no other domain") {
   TwoDomains fleet(false);
   CHECK_FALSE(fleet.runner()->IsDivided());
   CHECK(fleet.runner()->OtherDomain(0).empty());
 }
 
-// Right after a restart of the fleet: the pool's gateway would say that nobody
-// takes anything, and requests would be refused for it.
-TEST_CASE("a pool without a list of servers tells no wait") {
+// Right after a restart of the fleet the owner has no server list. If it
+// reported an endless wait, requests would be refused.
+TEST_CASE("a pool without a server list reports no wait") {
   TwoDomains fleet(false, false);
   int waits = 0;
   const auto announce = [&] {
--- a/tests/unit-stage-owners.cc
+++ b/tests/unit-stage-owners.cc
@@ -52,7 +52,7 @@
 constexpr const char* kService = "press";
 constexpr uint64_t kResultBytes = 10;
 
-/// What all gateways and servers of a test run on.
+/// Event loop and client shared by all gateways and servers of a test.
 class Loopback {
  public:
   bool Until(const std::function<bool()>& condition) {
@@ -67,8 +67,8 @@
   StageClient client_{&io_, StageLimits()};
 };
 
-/// A stage server that holds its answers back when it is told to. A result
-/// names the request it was made for.
+/// A stage server that can hold its replies back. A result's handle contains
+/// the request it was made for.
 class PieceServer {
  public:
   explicit PieceServer(Loopback* net)
@@ -98,8 +98,8 @@
 
   bool is_holding_ = false;
   size_t calls_ = 0;
-  /// Requests whose pieces it was asked for, in order.
-  std::vector<std::string> asked_;
+  /// Requests of the pieces that it was sent, in order.
+  std::vector<std::string> requested_;
   /// Results that were not freed.
   std::set<std::string> kept_;
 
@@ -137,9 +137,9 @@
     JsonValue made = JsonValue::Array();
     for (const JsonValue& item : items.items()) {
       const std::string request = item.Find("id")->AsString();
-      asked_.push_back(request);
+      requested_.push_back(request);
       const std::string handle =
-          address_ + "/" + request + "-" + std::to_string(asked_.size());
+          address_ + "/" + request + "-" + std::to_string(requested_.size());
       kept_.insert(handle);
       JsonValue result = JsonValue::Object();
       result.AppendMember("handle", JsonValue::String(handle));
@@ -155,8 +155,8 @@
   HttpListener listener_;
 };
 
-/// What a request heard of a task.
-struct Asked {
+/// What the gateway of a request received for a task.
+struct TrackedTask {
   uint64_t job_ = 0;
   int waits_ = 0;
   StageWait wait_;
@@ -199,7 +199,7 @@
   return view;
 }
 
-/// A gateway; one with servers can run the pool.
+/// A gateway. It can run the pool if its view has servers.
 class Gateway {
  public:
   Gateway(Loopback* net, const std::string& endpoint, FleetView view)
@@ -242,40 +242,41 @@
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  /// Ends what others connected to it.
+  /// Closes the connections that others made to it.
   void CloseAll() {
     for (const auto& channel : std::exchange(channels_, {})) {
       channel->Close();
     }
   }
 
-  std::shared_ptr<Asked> Announce(uint32_t pieces = 1) {
-    auto asked = std::make_shared<Asked>();
-    asked->job_ = owners_.Announce(kService, ForecastOf(pieces),
-                                   [asked](const StageWait& wait) {
-                                     ++asked->waits_;
-                                     asked->wait_ = wait;
-                                   });
-    return asked;
+  std::shared_ptr<TrackedTask> Announce(uint32_t pieces = 1) {
+    auto tracked = std::make_shared<TrackedTask>();
+    tracked->job_ = owners_.Announce(kService, ForecastOf(pieces),
+                                     [tracked](const StageWait& wait) {
+                                       ++tracked->waits_;
+                                       tracked->wait_ = wait;
+                                     });
+    return tracked;
   }
-  void Submit(const std::shared_ptr<Asked>& asked,
+  void Submit(const std::shared_ptr<TrackedTask>& tracked,
               const std::string& request,
               uint32_t pieces = 1) {
     owners_.Submit(
-        asked->job_, TaskOf(request, pieces),
-        [asked](const StageOutcome& outcome) {
-          ++asked->done_;
-          asked->outcome_ = outcome;
+        tracked->job_, TaskOf(request, pieces),
+        [tracked](const StageOutcome& outcome) {
+          ++tracked->done_;
+          tracked->outcome_ = outcome;
         },
-        [asked] { ++asked->inputs_taken_; });
+        [tracked] { ++tracked->inputs_taken_; });
   }
-  std::shared_ptr<Asked> Ask(const std::string& request, uint32_t pieces = 1) {
-    auto asked = Announce(pieces);
-    Submit(asked, request, pieces);
-    return asked;
+  std::shared_ptr<TrackedTask> AnnounceAndSubmit(const std::string& request,
+                                                 uint32_t pieces = 1) {
+    auto tracked = Announce(pieces);
+    Submit(tracked, request, pieces);
+    return tracked;
   }
 
-  /// What it logged.
+  /// Log lines.
   std::vector<std::string> lines_;
   FleetView view_;
   EventLog log_;
@@ -288,10 +289,10 @@
   const bool runs_pools_;
 };
 
-/// An owner of pools that the test plays.
-class PlayedOwner {
+/// A pool owner whose replies the test controls.
+class ScriptedOwner {
  public:
-  PlayedOwner(Loopback* net, const std::string& endpoint)
+  ScriptedOwner(Loopback* net, const std::string& endpoint)
       : listener_(&net->io_,
                   endpoint,
                   {[this](const std::shared_ptr<FrameChannel>& channel,
@@ -304,11 +305,11 @@
     Error error;
     REQUIRE(listener_.Start(&error));
   }
-  ~PlayedOwner() { CloseAll(); }
-  PlayedOwner(const PlayedOwner&) = delete;
-  PlayedOwner& operator=(const PlayedOwner&) = delete;
+  ~ScriptedOwner() { CloseAll(); }
+  ScriptedOwner(const ScriptedOwner&) = delete;
+  ScriptedOwner& operator=(const ScriptedOwner&) = delete;
 
-  void Answer(uint64_t job, const Handles& handles) {
+  void SendResult(uint64_t job, const Handles& handles) {
     Frame frame;
     auto* result = frame.mutable_job_result();
     result->set_job(job);
@@ -324,25 +325,25 @@
     frame.mutable_job_result()->set_not_run(not_run);
     channel_->Send(frame);
   }
-  void TellInputsTaken(uint64_t job) {
+  void ReportInputsTaken(uint64_t job) {
     Frame frame;
     frame.mutable_inputs_taken()->set_job(job);
     channel_->Send(frame);
   }
-  void TellWait(uint64_t job, uint64_t milliseconds) {
+  void ReportWait(uint64_t job, uint64_t milliseconds) {
     Frame frame;
     frame.mutable_pool_wait()->set_job(job);
     frame.mutable_pool_wait()->set_all_ms(milliseconds);
     channel_->Send(frame);
   }
-  /// Ends the connections; new ones are taken.
+  /// Closes the connections; new ones are accepted.
   void CloseAll() {
     for (const auto& channel : std::exchange(channels_, {})) {
       channel->Close();
     }
   }
 
-  /// Requests of the tasks that came, in order.
+  /// Requests of the received tasks, in order.
   std::vector<std::string> tasks_;
   /// Pieces announced and not withdrawn, by job.
   std::map<uint64_t, uint32_t> announced_;
@@ -370,8 +371,8 @@
   FrameListener listener_;
 };
 
-// Silence, as the asker's clock tells it: a ping, and nothing for 600 ms.
-void PassInSilence(Gateway* gateway) {
+// Simulates silence of the owner: a ping is sent and no reply comes for 600 ms.
+void SimulateSilence(Gateway* gateway) {
   const TimePoint now = SteadyNow();
   gateway->owners_.Tick(now + milliseconds(300));
   gateway->owners_.Tick(now + milliseconds(900));
@@ -388,55 +389,55 @@
 
 }  // namespace
 
-TEST_CASE("results of a stage task reach the request that asked") {
+TEST_CASE("results of a stage task reach the request that submitted it") {
   Loopback net;
   const std::string owner_endpoint = FreeEndpoint(&net.io_);
-  PlayedOwner owner(&net, owner_endpoint);
+  ScriptedOwner owner(&net, owner_endpoint);
   Gateway gateway(&net, FreeEndpoint(&net.io_), ViewOf(owner_endpoint, {}));
-  const auto one = gateway.Ask("one");
-  const auto two = gateway.Ask("two");
+  const auto one = gateway.AnnounceAndSubmit("one");
+  const auto two = gateway.AnnounceAndSubmit("two");
   REQUIRE(net.Until([&] { return owner.tasks_.size() == 2; }));
   CHECK(owner.tasks_ == std::vector<std::string>{"one", "two"});
   CHECK(one->job_ != two->job_);
 
-  SECTION("in the order in which they were asked for") {
-    owner.Answer(one->job_, {"h/one"});
-    owner.Answer(two->job_, {"h/two"});
+  SECTION("in the order in which they were submitted") {
+    owner.SendResult(one->job_, {"h/one"});
+    owner.SendResult(two->job_, {"h/two"});
     REQUIRE(net.Until([&] { return two->done_ == 1; }));
     CHECK(one->outcome_.handles_ == Handles{"h/one"});
     CHECK(two->outcome_.handles_ == Handles{"h/two"});
   }
 
   SECTION("in another order") {
-    owner.Answer(two->job_, {"h/two"});
+    owner.SendResult(two->job_, {"h/two"});
     REQUIRE(net.Until([&] { return two->done_ == 1; }));
     CHECK(one->done_ == 0);
-    owner.Answer(one->job_, {"h/one"});
+    owner.SendResult(one->job_, {"h/one"});
     REQUIRE(net.Until([&] { return one->done_ == 1; }));
     CHECK(one->outcome_.handles_ == Handles{"h/one"});
     CHECK(two->outcome_.handles_ == Handles{"h/two"});
   }
 
-  SECTION("once, also when they come twice") {
-    owner.Answer(one->job_, {"h/one"});
-    owner.Answer(one->job_, {"h/again"});
-    owner.Answer(two->job_, {"h/two"});
+  SECTION("once, also when they are sent twice") {
+    owner.SendResult(one->job_, {"h/one"});
+    owner.SendResult(one->job_, {"h/again"});
+    owner.SendResult(two->job_, {"h/two"});
     REQUIRE(net.Until([&] { return two->done_ == 1; }));
     CHECK(one->done_ == 1);
     CHECK(one->outcome_.handles_ == Handles{"h/one"});
     CHECK(two->outcome_.handles_ == Handles{"h/two"});
   }
 
-  SECTION("and nobody once the task was cancelled") {
+  SECTION("and are discarded once the task was cancelled") {
     gateway.owners_.Cancel(one->job_);
-    // Its number is not given again.
-    const auto three = gateway.Ask("three");
+    // Its number is not used again.
+    const auto three = gateway.AnnounceAndSubmit("three");
     REQUIRE(net.Until([&] { return owner.tasks_.size() == 3; }));
     CHECK(owner.cancelled_ == std::vector<uint64_t>{one->job_});
     CHECK(three->job_ != one->job_);
-    owner.Answer(one->job_, {"h/one"});
-    owner.TellInputsTaken(one->job_);
-    owner.Answer(two->job_, {"h/two"});
+    owner.SendResult(one->job_, {"h/one"});
+    owner.ReportInputsTaken(one->job_);
+    owner.SendResult(two->job_, {"h/two"});
     REQUIRE(net.Until([&] { return two->done_ == 1; }));
     CHECK(two->outcome_.handles_ == Handles{"h/two"});
     CHECK(one->done_ == 0);
@@ -445,23 +446,23 @@
     CHECK(gateway.owners_.open_jobs() == 1);
   }
 
-  SECTION("and nobody when no task has their number") {
-    owner.Answer(two->job_ + 1, {"h/none"});
-    owner.Answer(0, {"h/none"});
-    owner.Answer(two->job_, {"h/two"});
+  SECTION("and are discarded when no task has their number") {
+    owner.SendResult(two->job_ + 1, {"h/none"});
+    owner.SendResult(0, {"h/none"});
+    owner.SendResult(two->job_, {"h/two"});
     REQUIRE(net.Until([&] { return two->done_ == 1; }));
     CHECK(two->outcome_.handles_ == Handles{"h/two"});
     CHECK(one->done_ == 0);
   }
 
-  SECTION("that its servers have its inputs is told to it alone") {
-    owner.TellInputsTaken(two->job_);
+  SECTION("the fetch of its inputs is reported to it alone") {
+    owner.ReportInputsTaken(two->job_);
     REQUIRE(net.Until([&] { return two->inputs_taken_ == 1; }));
     CHECK(one->inputs_taken_ == 0);
     CHECK(two->done_ == 0);
   }
 
-  SECTION("how they failed is told to it alone") {
+  SECTION("their failure is reported to it alone") {
     owner.End(two->job_, "input gone", false);
     REQUIRE(net.Until([&] { return two->done_ == 1; }));
     CHECK(two->outcome_.result_ == Result::kInputGone);
@@ -474,8 +475,8 @@
   }
 }
 
-// Each gateway numbers its tasks by itself, from 1 on: the numbers below are
-// the same.
+// Each gateway numbers its tasks by itself, starting at 1, so the numbers below
+// are the same.
 TEST_CASE("one owner serves the tasks of many gateways") {
   Loopback net;
   PieceServer first_server(&net);
@@ -491,22 +492,22 @@
   Gateway second(&net, FreeEndpoint(&net.io_), others_view);
   first_server.is_holding_ = true;
   second_server.is_holding_ = true;
-  const auto asked = [&] {
-    return first_server.asked_.size() + second_server.asked_.size();
+  const auto tracked = [&] {
+    return first_server.requested_.size() + second_server.requested_.size();
   };
-  const auto one = first->Ask("one", 2);
-  REQUIRE(net.Until([&] { return asked() == 2; }));
-  const auto two = second.Ask("two", 2);
-  REQUIRE(net.Until([&] { return asked() == 4; }));
+  const auto one = first->AnnounceAndSubmit("one", 2);
+  REQUIRE(net.Until([&] { return tracked() == 2; }));
+  const auto two = second.AnnounceAndSubmit("two", 2);
+  REQUIRE(net.Until([&] { return tracked() == 4; }));
   REQUIRE(one->job_ == two->job_);
   CHECK(owner->owners_.served_jobs() == 2);
-  const bool is_one_first = first_server.asked_.front() == "one";
+  const bool is_one_first = first_server.requested_.front() == "one";
   PieceServer* const server_of_one =
       is_one_first ? &first_server : &second_server;
   PieceServer* const server_of_two =
       is_one_first ? &second_server : &first_server;
 
-  SECTION("each gets its own results, whatever is ready first") {
+  SECTION("each gets its own results in any order") {
     server_of_two->Release();
     REQUIRE(net.Until([&] { return two->done_ == 1; }));
     CHECK(one->done_ == 0);
@@ -518,23 +519,23 @@
     CHECK(owner->owners_.served_jobs() == 0);
   }
 
-  SECTION("a call that holds pieces of both is taken apart") {
-    const auto three = first->Ask("three");
-    const auto four = second.Ask("four");
+  SECTION("a call with pieces of both is split") {
+    const auto three = first->AnnounceAndSubmit("three");
+    const auto four = second.AnnounceAndSubmit("four");
     REQUIRE(net.Until([&] { return owner->pool_.tasks() == 4; }));
     server_of_two->Release();
     REQUIRE(net.Until([&] { return four->done_ == 1 && three->done_ == 1; }));
     CHECK(NamesOnly(three->outcome_, "three"));
     CHECK(NamesOnly(four->outcome_, "four"));
-    // In one call, in either order.
-    REQUIRE(server_of_two->asked_.size() == 4);
-    CHECK(std::set<std::string>(server_of_two->asked_.begin() + 2,
-                                server_of_two->asked_.end()) ==
+    // In one call, in any order.
+    REQUIRE(server_of_two->requested_.size() == 4);
+    CHECK(std::set<std::string>(server_of_two->requested_.begin() + 2,
+                                server_of_two->requested_.end()) ==
           std::set<std::string>{"three", "four"});
     CHECK(server_of_two->calls_ == 2);
   }
 
-  SECTION("one that cancels ends only its own") {
+  SECTION("cancelling ends only the gateway's own task") {
     first->owners_.Cancel(one->job_);
     REQUIRE(net.Until([&] { return owner->owners_.served_jobs() == 1; }));
     server_of_one->Release();
@@ -542,16 +543,16 @@
     REQUIRE(net.Until([&] { return two->done_ == 1; }));
     CHECK(NamesOnly(two->outcome_, "two"));
     CHECK(one->done_ == 0);
-    // What was made for nobody is freed.
+    // The result of the cancelled task is freed.
     CHECK(net.Until([&] { return server_of_one->kept_.empty(); }));
     CHECK(server_of_two->kept_.size() == 2);
   }
 
-  SECTION("one that starts again hears nothing of its former tasks") {
+  SECTION("a restarted gateway receives nothing of its previous tasks") {
     first.reset();
     REQUIRE(net.Until([&] { return owner->owners_.served_jobs() == 1; }));
     first = std::make_unique<Gateway>(&net, endpoint, others_view);
-    const auto again = first->Ask("again", 2);
+    const auto again = first->AnnounceAndSubmit("again", 2);
     REQUIRE(again->job_ == one->job_);
     REQUIRE(net.Until([&] { return owner->owners_.served_jobs() == 2; }));
     server_of_one->Release();
@@ -562,10 +563,10 @@
     CHECK(one->done_ == 0);
   }
 
-  SECTION("an owner that starts again has nothing of its former life") {
+  SECTION("a restarted owner has no state of its previous incarnation") {
     owner.reset();
     owner = std::make_unique<Gateway>(&net, owner_endpoint, view);
-    // The tasks are asked for once more, in an order of chance.
+    // The tasks are submitted once more, in any order.
     REQUIRE(net.Until([&] { return owner->owners_.served_jobs() == 2; }));
     server_of_one->Release();
     server_of_two->Release();
@@ -576,7 +577,7 @@
     CHECK(owner->pool_.tasks() == 0);
   }
 
-  SECTION("what a gateway that is gone had asked for is over") {
+  SECTION("the tasks of a gateway that is gone are cancelled") {
     first.reset();
     REQUIRE(net.Until([&] { return owner->owners_.served_jobs() == 1; }));
     CHECK(owner->pool_.tasks() == 1);
@@ -588,75 +589,75 @@
   }
 }
 
-TEST_CASE("a stage task whose owner goes") {
+TEST_CASE("a stage task whose owner is lost") {
   Loopback net;
   const std::string owner_endpoint = FreeEndpoint(&net.io_);
   const std::string next_endpoint = FreeEndpoint(&net.io_);
-  auto owner = std::make_unique<PlayedOwner>(&net, owner_endpoint);
-  PlayedOwner next(&net, next_endpoint);
+  auto owner = std::make_unique<ScriptedOwner>(&net, owner_endpoint);
+  ScriptedOwner next(&net, next_endpoint);
   PieceServer server(&net);
   const std::vector<std::string> both = {owner_endpoint, next_endpoint};
 
-  SECTION("is in hand") {
+  SECTION("is in progress") {
     Gateway gateway(&net, FreeEndpoint(&net.io_), ViewOf(owner_endpoint, both));
-    const auto one = gateway.Ask("one");
-    const auto two = gateway.Ask("two");
+    const auto one = gateway.AnnounceAndSubmit("one");
+    const auto two = gateway.AnnounceAndSubmit("two");
     REQUIRE(net.Until([&] { return owner->tasks_.size() == 2; }));
 
-    SECTION("asks the owner once more when only the connection ended") {
+    SECTION("is sent to the owner again when only the connection ended") {
       owner->CloseAll();
       REQUIRE(net.Until([&] { return owner->tasks_.size() == 4; }));
       CHECK(next.tasks_.empty());
-      owner->Answer(two->job_, {"h/two"});
-      owner->Answer(one->job_, {"h/one"});
+      owner->SendResult(two->job_, {"h/two"});
+      owner->SendResult(one->job_, {"h/one"});
       REQUIRE(net.Until([&] { return one->done_ == 1; }));
       CHECK(one->outcome_.handles_ == Handles{"h/one"});
       CHECK(two->outcome_.handles_ == Handles{"h/two"});
     }
 
-    SECTION("moves to the successor when it takes no connection") {
+    SECTION("moves to the successor when the owner accepts no connection") {
       owner.reset();
       REQUIRE(net.Until([&] { return next.tasks_.size() == 2; }));
       CHECK(next.tasks_ == std::vector<std::string>{"one", "two"});
-      next.Answer(two->job_, {"h/two"});
-      next.Answer(one->job_, {"h/one"});
+      next.SendResult(two->job_, {"h/two"});
+      next.SendResult(one->job_, {"h/one"});
       REQUIRE(net.Until([&] { return one->done_ == 1; }));
       CHECK(one->outcome_.handles_ == Handles{"h/one"});
       CHECK(two->outcome_.handles_ == Handles{"h/two"});
-      // Later ones go there at once.
-      gateway.Ask("three");
+      // Later tasks go there immediately.
+      gateway.AnnounceAndSubmit("three");
       CHECK(net.Until([&] { return next.tasks_.size() == 3; }));
     }
 
-    SECTION("moves to the successor when it is silent") {
-      PassInSilence(&gateway);
+    SECTION("moves to the successor when the owner is silent") {
+      SimulateSilence(&gateway);
       REQUIRE(net.Until([&] { return next.tasks_.size() == 2; }));
       CHECK(owner->tasks_.size() == 2);
-      // What the silent one says on the connection of before is not read.
-      owner->Answer(one->job_, {"h/stale"});
-      next.Answer(one->job_, {"h/one"});
-      next.Answer(two->job_, {"h/two"});
+      // Frames of the silent owner on the previous connection are ignored.
+      owner->SendResult(one->job_, {"h/stale"});
+      next.SendResult(one->job_, {"h/one"});
+      next.SendResult(two->job_, {"h/two"});
       REQUIRE(net.Until([&] { return two->done_ == 1; }));
       CHECK(one->done_ == 1);
       CHECK(one->outcome_.handles_ == Handles{"h/one"});
     }
 
-    SECTION("ended before, or was cancelled: it moves nowhere") {
-      owner->Answer(one->job_, {"h/one"});
+    SECTION("does not move if it ended before or was cancelled") {
+      owner->SendResult(one->job_, {"h/one"});
       REQUIRE(net.Until([&] { return one->done_ == 1; }));
       gateway.owners_.Cancel(two->job_);
-      const auto three = gateway.Ask("three");
+      const auto three = gateway.AnnounceAndSubmit("three");
       REQUIRE(net.Until([&] { return owner->tasks_.size() == 3; }));
       owner.reset();
       REQUIRE(net.Until([&] { return next.tasks_.size() == 1; }));
       CHECK(next.tasks_ == std::vector<std::string>{"three"});
-      next.Answer(three->job_, {"h/three"});
+      next.SendResult(three->job_, {"h/three"});
       REQUIRE(net.Until([&] { return three->done_ == 1; }));
       CHECK(one->done_ == 1);
       CHECK(two->done_ == 0);
     }
 
-    SECTION("that hands it back unsent has run nothing of it") {
+    SECTION("that is handed back unsent has not run") {
       gateway.view_.SetOwners(2, {{kService, next_endpoint}});
       owner->End(one->job_, "moved", true);
       REQUIRE(net.Until([&] { return next.tasks_.size() == 1; }));
@@ -666,25 +667,25 @@
       CHECK(one->outcome_.not_run_);
     }
 
-    SECTION("that hands it back sends it where the pool is by then") {
+    SECTION("that is handed back goes to the present owner") {
       gateway.view_.SetOwners(2, {{kService, next_endpoint}});
       owner->End(one->job_, "moved", true);
       REQUIRE(net.Until([&] { return next.tasks_.size() == 1; }));
       CHECK(next.tasks_ == std::vector<std::string>{"one"});
       CHECK(one->done_ == 0);
-      next.Answer(one->job_, {"h/one"});
+      next.SendResult(one->job_, {"h/one"});
       REQUIRE(net.Until([&] { return one->done_ == 1; }));
-      // What was not handed back is still the former one's.
-      owner->Answer(two->job_, {"h/two"});
+      // A task that was not handed back stays with the previous owner.
+      owner->SendResult(two->job_, {"h/two"});
       REQUIRE(net.Until([&] { return two->done_ == 1; }));
       CHECK(two->outcome_.handles_ == Handles{"h/two"});
     }
   }
 
-  SECTION("comes to this gateway when there is no other") {
+  SECTION("moves to this gateway when there is no other") {
     Gateway gateway(&net, FreeEndpoint(&net.io_),
                     ViewOf(owner_endpoint, {}, {server.Entry("s")}));
-    const auto one = gateway.Ask("one");
+    const auto one = gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return owner->tasks_.size() == 1; }));
     owner.reset();
     REQUIRE(net.Until([&] { return one->done_ == 1; }));
@@ -692,10 +693,10 @@
     CHECK(NamesOnly(one->outcome_, "one"));
   }
 
-  SECTION("again and again ends here") {
+  SECTION("repeatedly ends at this gateway") {
     Gateway gateway(&net, FreeEndpoint(&net.io_),
                     ViewOf(owner_endpoint, both, {server.Entry("s")}));
-    const auto one = gateway.Ask("one");
+    const auto one = gateway.AnnounceAndSubmit("one");
     for (size_t times = 1; times <= 3; ++times) {
       REQUIRE(net.Until([&] { return owner->tasks_.size() == times; }));
       owner->CloseAll();
@@ -707,12 +708,12 @@
   }
 }
 
-TEST_CASE("results that an owner is told to free") {
+TEST_CASE("results that an owner is requested to free") {
   Loopback net;
   const std::string owner_endpoint = FreeEndpoint(&net.io_);
   const std::string next_endpoint = FreeEndpoint(&net.io_);
-  auto owner = std::make_unique<PlayedOwner>(&net, owner_endpoint);
-  PlayedOwner next(&net, next_endpoint);
+  auto owner = std::make_unique<ScriptedOwner>(&net, owner_endpoint);
+  ScriptedOwner next(&net, next_endpoint);
   Gateway gateway(&net, FreeEndpoint(&net.io_),
                   ViewOf(owner_endpoint, {owner_endpoint, next_endpoint}));
   gateway.owners_.Free(kService, {});
@@ -720,29 +721,29 @@
   REQUIRE(net.Until([&] { return owner->freed_.size() == 2; }));
   CHECK(owner->freed_ == Handles{"h/1", "h/2"});
 
-  SECTION("are freed by its successor once it is found lost") {
+  SECTION("are freed by its successor once it is lost") {
     gateway.owners_.Free(kService, {"h/3"});
     owner.reset();
-    gateway.Ask("one");
+    gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return next.freed_.size() == 3; }));
     CHECK(next.freed_ == Handles{"h/1", "h/2", "h/3"});
   }
 
-  SECTION("but not those that it must have taken long before") {
+  SECTION("but not those whose request it must have received long before") {
     gateway.owners_.Tick(SteadyNow() + milliseconds(1600));
     gateway.owners_.Free(kService, {"h/3"});
     owner.reset();
-    gateway.Ask("one");
+    gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return !next.freed_.empty(); }));
     CHECK(next.freed_ == Handles{"h/3"});
   }
 
-  SECTION("stay with another owner that is not lost") {
+  SECTION("are not sent again when another owner is lost") {
     gateway.view_.SetOwners(2, {{kService, next_endpoint}});
     gateway.owners_.Free(kService, {"h/3"});
     REQUIRE(net.Until([&] { return next.freed_ == Handles{"h/3"}; }));
     owner.reset();
-    const auto one = gateway.Ask("one");
+    const auto one = gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return next.tasks_.size() == 1; }));
     CHECK(next.freed_ == Handles{"h/3"});
     gateway.owners_.Cancel(one->job_);
@@ -756,8 +757,8 @@
   using Announced = std::map<uint64_t, uint32_t>;
 
   SECTION("of a gateway") {
-    auto owner = std::make_unique<PlayedOwner>(&net, owner_endpoint);
-    PlayedOwner next(&net, next_endpoint);
+    auto owner = std::make_unique<ScriptedOwner>(&net, owner_endpoint);
+    ScriptedOwner next(&net, next_endpoint);
     Gateway gateway(&net, FreeEndpoint(&net.io_),
                     ViewOf(owner_endpoint, {owner_endpoint, next_endpoint}));
     const auto one = gateway.Announce(3);
@@ -765,16 +766,16 @@
     REQUIRE(net.Until([&] { return owner->announced_.size() == 2; }));
     CHECK(owner->announced_ == Announced{{one->job_, 3}, {two->job_, 5}});
 
-    SECTION("what the owner expects is told to the request that asked") {
-      owner->TellWait(two->job_, 70);
+    SECTION("the expected wait is reported to the announcing request") {
+      owner->ReportWait(two->job_, 70);
       REQUIRE(net.Until([&] { return two->waits_ == 1; }));
       CHECK(two->wait_.all_ == milliseconds(70));
       CHECK(one->waits_ == 0);
     }
-    SECTION("what it expects of a task that was submitted is told to nobody") {
+    SECTION("the expected wait of a submitted task is discarded") {
       gateway.Submit(one, "one");
-      owner->TellWait(one->job_, 70);
-      owner->TellWait(two->job_, 80);
+      owner->ReportWait(one->job_, 70);
+      owner->ReportWait(two->job_, 80);
       REQUIRE(net.Until([&] { return two->waits_ == 1; }));
       CHECK(one->waits_ == 0);
     }
@@ -782,12 +783,12 @@
       gateway.owners_.Cancel(one->job_);
       REQUIRE(net.Until([&] { return owner->announced_.size() == 1; }));
       CHECK(owner->announced_ == Announced{{two->job_, 5}});
-      owner->TellWait(one->job_, 70);
-      owner->TellWait(two->job_, 80);
+      owner->ReportWait(one->job_, 70);
+      owner->ReportWait(two->job_, 80);
       REQUIRE(net.Until([&] { return two->waits_ == 1; }));
       CHECK(one->waits_ == 0);
     }
-    SECTION("are replaced by others of the same task") {
+    SECTION("are replaced by later ones of the same task") {
       gateway.owners_.Revise(one->job_, ForecastOf(4));
       REQUIRE(net.Until([&] { return owner->announced_.at(one->job_) == 4; }));
       CHECK(owner->announced_.size() == 2);
@@ -801,7 +802,7 @@
       CHECK(owner->announced_.empty());
       CHECK(owner->cancelled_.empty());
     }
-    SECTION("are withdrawn where the pool was before") {
+    SECTION("are withdrawn from the previous owner") {
       gateway.view_.SetOwners(2, {{kService, next_endpoint}});
       gateway.owners_.Revise(one->job_, ForecastOf(4));
       gateway.Submit(two, "two", 5);
@@ -812,12 +813,12 @@
       CHECK(next.tasks_ == std::vector<std::string>{"two"});
       CHECK(owner->tasks_.empty());
     }
-    SECTION("of an owner that is lost are not told to others") {
+    SECTION("at a lost owner are not sent to others") {
       owner.reset();
-      const auto three = gateway.Ask("three");
+      const auto three = gateway.AnnounceAndSubmit("three");
       REQUIRE(net.Until([&] { return next.tasks_.size() == 1; }));
       CHECK(next.announced_.empty());
-      // The tasks go there when they are submitted.
+      // The tasks go to the successor when they are submitted.
       gateway.Submit(one, "one");
       gateway.owners_.Cancel(two->job_);
       REQUIRE(net.Until([&] { return next.tasks_.size() == 2; }));
@@ -860,18 +861,18 @@
       gateway.reset();
       CHECK(net.Until([&] { return expected() == Duration(); }));
     }
-    SECTION("end with the connection they came by") {
+    SECTION("end with their connection") {
       owner.CloseAll();
       CHECK(expected() == Duration());
     }
-    SECTION("give way to the task itself") {
+    SECTION("are replaced by the task itself") {
       gateway->owners_.Cancel(two->job_);
       gateway->Submit(one, "one", 1);
       REQUIRE(net.Until([&] { return one->done_ == 1; }));
       CHECK(NamesOnly(one->outcome_, "one"));
       CHECK(expected() == Duration());
     }
-    SECTION("of its own are withdrawn too") {
+    SECTION("of its own requests are withdrawn too") {
       gateway->owners_.Cancel(one->job_);
       gateway->owners_.Cancel(two->job_);
       REQUIRE(net.Until([&] { return expected() == Duration(); }));
@@ -898,7 +899,7 @@
     CHECK(table.OwnerOf(kService, now) == own);
   }
 
-  SECTION("is the one of the highest number") {
+  SECTION("is the one with the highest number") {
     view.SetOwners(7, {{kService, first}});
     CHECK(table.OwnerOf(kService, now) == first);
     view.SetOwners(6, {{kService, second}});
@@ -921,8 +922,7 @@
                          {"127.0.0.1:4", "a", true}});
     }
     CHECK(table.OwnerOf(kService, now) == other.OwnerOf(kService, now));
-    // Also of a pool that is not named yet, and of one whose owner is lost: by
-    // all that find it so.
+    // Also for a pool without a named owner, and for one whose owner is lost.
     CHECK(table.OwnerOf("new", now) == other.OwnerOf("new", now));
     OwnerTable lost(&view, own);
     OwnerTable other_lost(&others, second);
@@ -932,7 +932,7 @@
     CHECK(other_lost.OwnerOf(kService, now) == second);
   }
 
-  SECTION("is passed over for a while when it is lost") {
+  SECTION("is excluded for a while when it is lost") {
     view.SetOwners(7, {{kService, first}});
     view.SetGateways({{first, "a", false}, {second, "a", false}});
     table.MarkLost(first, now);
@@ -941,52 +941,52 @@
     table.MarkLost(first, now + seconds(4));
     table.MarkLost(second, now + seconds(4));
     CHECK(table.OwnerOf(kService, now + seconds(5)) == own);
-    // Control named another one meanwhile.
+    // Meanwhile control named another owner.
     view.SetOwners(8, {{kService, own}});
     CHECK(table.OwnerOf(kService, now + seconds(5)) == own);
   }
 
-  SECTION("is asked by number: an older table sends no task elsewhere") {
+  SECTION("is not replaced by an older owner table") {
     Loopback net;
     const std::string owner_endpoint = FreeEndpoint(&net.io_);
     const std::string next_endpoint = FreeEndpoint(&net.io_);
-    PlayedOwner owner(&net, owner_endpoint);
-    PlayedOwner next(&net, next_endpoint);
+    ScriptedOwner owner(&net, owner_endpoint);
+    ScriptedOwner next(&net, next_endpoint);
     Gateway gateway(&net, FreeEndpoint(&net.io_), ViewOf(owner_endpoint, {}));
     gateway.view_.SetOwners(9, {{kService, owner_endpoint}});
-    gateway.Ask("one");
+    gateway.AnnounceAndSubmit("one");
     gateway.view_.SetOwners(8, {{kService, next_endpoint}});
     gateway.view_.SetOwners(9, {{kService, next_endpoint}});
-    gateway.Ask("two");
+    gateway.AnnounceAndSubmit("two");
     REQUIRE(net.Until([&] { return owner.tasks_.size() == 2; }));
     gateway.view_.SetOwners(10, {{kService, next_endpoint}});
-    gateway.Ask("three");
+    gateway.AnnounceAndSubmit("three");
     REQUIRE(net.Until([&] { return next.tasks_.size() == 1; }));
     CHECK(owner.tasks_ == std::vector<std::string>{"one", "two"});
     CHECK(next.tasks_ == std::vector<std::string>{"three"});
   }
 }
 
-// "Not run" is a promise to the caller, and a stage is a part of its request: a
+// "Not run" is a promise to the caller that covers the request's stages, and a
 // lost owner may have handed pieces to servers.
-TEST_CASE("of what a lost owner had nobody says that it has not run") {
+TEST_CASE("tasks that a lost owner had are never reported as not run") {
   Loopback net;
   const std::string owner_endpoint = FreeEndpoint(&net.io_);
   const std::string next_endpoint = FreeEndpoint(&net.io_);
-  auto owner = std::make_unique<PlayedOwner>(&net, owner_endpoint);
+  auto owner = std::make_unique<ScriptedOwner>(&net, owner_endpoint);
   std::vector<std::string> gateways = {owner_endpoint, next_endpoint};
 
-  SECTION("not its successor") {
-    PlayedOwner next(&net, next_endpoint);
+  SECTION("by its successor") {
+    ScriptedOwner next(&net, next_endpoint);
     Gateway gateway(&net, FreeEndpoint(&net.io_),
                     ViewOf(owner_endpoint, gateways));
-    const auto one = gateway.Ask("one");
+    const auto one = gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return owner->tasks_.size() == 1; }));
-    SECTION("of one that is gone") {
+    SECTION("if it is gone") {
       owner.reset();
     }
-    SECTION("of one that is silent") {
-      PassInSilence(&gateway);
+    SECTION("if it is silent") {
+      SimulateSilence(&gateway);
     }
     REQUIRE(net.Until([&] { return next.tasks_.size() == 1; }));
     next.End(one->job_, "late", true);
@@ -994,10 +994,10 @@
     CHECK(one->outcome_.result_ == Result::kLate);
     CHECK_FALSE(one->outcome_.not_run_);
   }
-  SECTION("not the owner itself on its next connection") {
+  SECTION("by the owner itself on its next connection") {
     Gateway gateway(&net, FreeEndpoint(&net.io_),
                     ViewOf(owner_endpoint, gateways));
-    const auto one = gateway.Ask("one");
+    const auto one = gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return owner->tasks_.size() == 1; }));
     owner->CloseAll();
     REQUIRE(net.Until([&] { return owner->tasks_.size() == 2; }));
@@ -1005,9 +1005,9 @@
     REQUIRE(net.Until([&] { return one->done_ == 1; }));
     CHECK_FALSE(one->outcome_.not_run_);
   }
-  SECTION("not this gateway, where there is no other and it has no pool") {
+  SECTION("by this gateway without a pool, if there is no other") {
     Gateway gateway(&net, FreeEndpoint(&net.io_), ViewOf(owner_endpoint, {}));
-    const auto one = gateway.Ask("one");
+    const auto one = gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return owner->tasks_.size() == 1; }));
     owner.reset();
     REQUIRE(net.Until([&] { return one->done_ == 1; }));
@@ -1016,60 +1016,60 @@
   }
 }
 
-TEST_CASE("what a gateway hears of tasks that are not the owner's") {
+TEST_CASE("messages about tasks that are not at their sender") {
   Loopback net;
   const std::string owner_endpoint = FreeEndpoint(&net.io_);
   const std::string next_endpoint = FreeEndpoint(&net.io_);
-  PlayedOwner owner(&net, owner_endpoint);
-  PlayedOwner next(&net, next_endpoint);
+  ScriptedOwner owner(&net, owner_endpoint);
+  ScriptedOwner next(&net, next_endpoint);
   Gateway gateway(&net, FreeEndpoint(&net.io_),
                   ViewOf(owner_endpoint, {owner_endpoint, next_endpoint}));
 
-  SECTION("of what was only announced changes nothing") {
+  SECTION("are ignored for a task that was only announced") {
     const auto one = gateway.Announce();
-    const auto two = gateway.Ask("two");
+    const auto two = gateway.AnnounceAndSubmit("two");
     REQUIRE(net.Until([&] { return owner.tasks_.size() == 1; }));
-    SECTION("be it a result") {
-      owner.Answer(one->job_, {"h/one"});
+    SECTION("if they are a result") {
+      owner.SendResult(one->job_, {"h/one"});
     }
-    SECTION("be it that its inputs were taken") {
-      owner.TellInputsTaken(one->job_);
+    SECTION("if they report fetched inputs") {
+      owner.ReportInputsTaken(one->job_);
     }
-    owner.Answer(two->job_, {"h/two"});
+    owner.SendResult(two->job_, {"h/two"});
     CHECK_NOTHROW(net.Until([&] { return two->done_ == 1; }));
     CHECK(two->done_ == 1);
     CHECK(one->done_ == 0);
     CHECK(gateway.owners_.open_jobs() == 1);
   }
-  SECTION("of one that was handed back changes nothing") {
-    const auto one = gateway.Ask("one");
+  SECTION("are ignored for a task that was handed back") {
+    const auto one = gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return owner.tasks_.size() == 1; }));
     gateway.view_.SetOwners(2, {{kService, next_endpoint}});
     owner.End(one->job_, "moved", true);
     REQUIRE(net.Until([&] { return next.tasks_.size() == 1; }));
-    // Said twice, as by an owner that had it twice.
+    // Sent twice, as by an owner that had it twice.
     owner.End(one->job_, "late", true);
-    const auto two = gateway.Ask("two");
+    const auto two = gateway.AnnounceAndSubmit("two");
     REQUIRE(net.Until([&] { return next.tasks_.size() == 2; }));
-    next.Answer(two->job_, {"h/two"});
-    next.Answer(one->job_, {"h/one"});
+    next.SendResult(two->job_, {"h/two"});
+    next.SendResult(one->job_, {"h/one"});
     REQUIRE(net.Until([&] { return two->done_ == 1 && one->done_ == 1; }));
     CHECK(one->outcome_.result_ == Result::kDone);
     CHECK(one->outcome_.handles_ == Handles{"h/one"});
   }
 }
 
-TEST_CASE("a stage task is asked for once on a connection") {
+TEST_CASE("a stage task is submitted once on a connection") {
   Loopback net;
   const std::string owner_endpoint = FreeEndpoint(&net.io_);
 
-  SECTION("also when it is submitted as the one before ends") {
-    PlayedOwner owner(&net, owner_endpoint);
+  SECTION("also when it is submitted as the previous one ends") {
+    ScriptedOwner owner(&net, owner_endpoint);
     Gateway gateway(&net, FreeEndpoint(&net.io_), ViewOf(owner_endpoint, {}));
-    gateway.Ask("one");
+    gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] { return owner.tasks_.size() == 1; }));
     owner.CloseAll();
-    // One at each step until the loss was dealt with.
+    // One after each poll until the loss is handled.
     int steps = 0;
     const auto is_known = [&] {
       return std::any_of(gateway.lines_.begin(), gateway.lines_.end(),
@@ -1078,11 +1078,11 @@
                          });
     };
     while (!is_known()) {
-      gateway.Ask("step " + std::to_string(++steps));
+      gateway.AnnounceAndSubmit("step " + std::to_string(++steps));
       net.io_.poll_one();
       REQUIRE(steps < 1000);
     }
-    const auto last = gateway.Ask("last");
+    const auto last = gateway.AnnounceAndSubmit("last");
     REQUIRE(net.Until([&] {
       return std::count(owner.tasks_.begin(), owner.tasks_.end(), "last") > 0;
     }));
@@ -1094,7 +1094,7 @@
     }
   }
 
-  SECTION("one that comes twice is over when its gateway is gone") {
+  SECTION("a task received twice is cancelled when its gateway is gone") {
     PieceServer server(&net);
     server.is_holding_ = true;
     Gateway owner(&net, owner_endpoint,
@@ -1111,7 +1111,7 @@
     link.Send(frame);
     link.Send(frame);
     REQUIRE(net.Until([&] { return owner.pool_.tasks() > 0; }));
-    // What comes after both was read.
+    // A frame sent after both was read.
     Frame announcement;
     announcement.mutable_announcement()->set_job(2);
     announcement.mutable_announcement()->set_service(kService);
@@ -1130,8 +1130,8 @@
   }
 }
 
-TEST_CASE("results that nobody takes are freed") {
-  SECTION("those that cross the end of their request on their way") {
+TEST_CASE("results without a receiver are freed") {
+  SECTION("those sent while their request ends") {
     Loopback owner_net;
     Loopback net;
     PieceServer server(&owner_net);
@@ -1140,65 +1140,67 @@
                   ViewOf(owner_endpoint, {}, {server.Entry("s")}));
     Gateway gateway(&net, FreeEndpoint(&net.io_), ViewOf(owner_endpoint, {}));
     server.is_holding_ = true;
-    const auto one = gateway.Ask("one");
+    const auto one = gateway.AnnounceAndSubmit("one");
     REQUIRE(net.Until([&] {
       owner_net.io_.poll();
-      return server.asked_.size() == 1;
+      return server.requested_.size() == 1;
     }));
     server.Release();
-    // The gateway reads nothing meanwhile.
+    // Meanwhile the gateway reads nothing.
     REQUIRE(owner_net.Until([&] { return owner.pool_.tasks() == 0; }));
     gateway.owners_.Cancel(one->job_);
-    const auto two = gateway.Ask("two");
+    const auto two = gateway.AnnounceAndSubmit("two");
     REQUIRE(net.Until([&] {
       owner_net.io_.poll();
       return two->done_ == 1;
     }));
     CHECK(one->done_ == 0);
     gateway.owners_.Free(kService, two->outcome_.handles_);
-    // This server drops none by itself.
+    // This server expires none.
     CHECK(net.Until([&] {
       owner_net.io_.poll();
       return server.kept_.empty();
     }));
   }
 
-  SECTION("those an owner was told to free as its connection ended") {
+  SECTION("those whose free request was sent as the connection ended") {
     Loopback net;
     const std::string owner_endpoint = FreeEndpoint(&net.io_);
     const std::string next_endpoint = FreeEndpoint(&net.io_);
-    auto owner = std::make_unique<PlayedOwner>(&net, owner_endpoint);
-    PlayedOwner next(&net, next_endpoint);
+    auto owner = std::make_unique<ScriptedOwner>(&net, owner_endpoint);
+    ScriptedOwner next(&net, next_endpoint);
     Gateway gateway(&net, FreeEndpoint(&net.io_),
                     ViewOf(owner_endpoint, {owner_endpoint, next_endpoint}));
     gateway.owners_.Free(kService, {"h/1"});
     REQUIRE(net.Until([&] { return owner->freed_.size() == 1; }));
-    SECTION("by its successor, when it is gone and nothing else is asked") {
+    SECTION(
+        "by the successor of an owner that is gone, without another request") {
       owner.reset();
       gateway.owners_.Free(kService, {"h/2"});
       REQUIRE(net.Until([&] { return next.freed_.size() == 2; }));
       CHECK(next.freed_ == Handles{"h/1", "h/2"});
     }
-    SECTION("by itself, when it takes another connection") {
+    SECTION("by the owner itself, when it accepts another connection") {
       owner->CloseAll();
       gateway.owners_.Free(kService, {"h/2"});
-      const auto one = gateway.Ask("one");
+      const auto one = gateway.AnnounceAndSubmit("one");
       REQUIRE(net.Until([&] { return owner->tasks_.size() == 1; }));
       CHECK(std::count(owner->freed_.begin(), owner->freed_.end(), "h/2") == 1);
     }
   }
 }
 
-// Hundreds of callers, and an owner that is short of its processor or its link:
-// each took it for lost and made another gateway call the same servers.
-TEST_CASE("a task of a divided pool whose owner does not answer") {
+// Guards against several owners of one partition's servers: under load an owner
+// replied late, and each of its clients assumed that it was lost and made
+// another gateway call the same servers.
+TEST_CASE("a task of a divided pool whose owner does not reply") {
   Loopback net;
   const std::string owner_endpoint = FreeEndpoint(&net.io_);
   const std::string other_endpoint = FreeEndpoint(&net.io_);
   const std::string idle_endpoint = FreeEndpoint(&net.io_);
-  PlayedOwner owner(&net, owner_endpoint);
-  PlayedOwner other(&net, other_endpoint);
-  PlayedOwner idle(&net, idle_endpoint);
+  ScriptedOwner owner(&net, owner_endpoint);
+  ScriptedOwner other(&net, other_endpoint);
+  ScriptedOwner idle(&net, idle_endpoint);
   FleetView view =
       ViewOf(owner_endpoint, {owner_endpoint, other_endpoint, idle_endpoint});
   BackendServer maker;
@@ -1212,34 +1214,34 @@
   view.SetOwners(2, {{part_a, owner_endpoint}, {part_b, other_endpoint}});
   Gateway gateway(&net, FreeEndpoint(&net.io_), view);
   const auto ask_in_a = [&](const std::string& request) {
-    auto asked = std::make_shared<Asked>();
+    auto tracked = std::make_shared<TrackedTask>();
     StageForecast forecast = ForecastOf(1);
     forecast.failure_domain_ = "a";
-    asked->job_ =
+    tracked->job_ =
         gateway.owners_.Announce(kService, forecast, [](const StageWait&) {});
-    gateway.Submit(asked, request);
-    return asked;
+    gateway.Submit(tracked, request);
+    return tracked;
   };
   const auto one = ask_in_a("one");
   REQUIRE(net.Until([&] { return owner.tasks_.size() == 1; }));
   gateway.owners_.Free(kService, {"10.0.0.1:1/made"});
   REQUIRE(net.Until([&] { return owner.freed_.size() == 1; }));
-  PassInSilence(&gateway);
+  SimulateSilence(&gateway);
   REQUIRE(net.Until([&] { return other.tasks_.size() == 1; }));
 
-  SECTION("goes to another part, not to a second owner of its servers") {
-    other.Answer(one->job_, {"h/one"});
+  SECTION("goes to another partition, not to a second owner of its servers") {
+    other.SendResult(one->job_, {"h/one"});
     REQUIRE(net.Until([&] { return one->done_ == 1; }));
     CHECK(one->outcome_.handles_ == Handles{"h/one"});
     CHECK(idle.tasks_.empty());
   }
-  SECTION("takes new tasks of its domain elsewhere for a while") {
+  SECTION("sends new tasks of its domain elsewhere for a while") {
     ask_in_a("two");
     REQUIRE(net.Until([&] { return other.tasks_.size() == 2; }));
     CHECK(owner.tasks_.size() == 1);
     CHECK(idle.tasks_.empty());
   }
-  SECTION("has results freed by the next one that control names") {
+  SECTION("has results freed by the next owner that control names") {
     gateway.owners_.Tick(SteadyNow());
     CHECK(other.freed_.empty());
     gateway.view_.SetOwners(
@@ -1250,12 +1252,12 @@
   }
 }
 
-TEST_CASE("results of a divided pool are freed by their makers' gateways") {
+TEST_CASE("results of a divided pool are freed by their producers' owners") {
   Loopback net;
   const std::string endpoint_a = FreeEndpoint(&net.io_);
   const std::string endpoint_b = FreeEndpoint(&net.io_);
-  PlayedOwner owner_a(&net, endpoint_a);
-  PlayedOwner owner_b(&net, endpoint_b);
+  ScriptedOwner owner_a(&net, endpoint_a);
+  ScriptedOwner owner_b(&net, endpoint_b);
   FleetView view = ViewOf(endpoint_a, {endpoint_a, endpoint_b});
   std::vector<BackendServer> makers;
   for (const char* domain : {"a", "b"}) {
