--- a/include/citronlane/serving/backend_server.h
+++ b/include/citronlane/serving/backend_server.h
@@ -6,23 +6,24 @@
 
 namespace citronlane {
 
-/// One start of a backend server, as the platform lists it. What was learned or
-/// held of a start ends with it: the server that starts again, under its own
-/// name or at the address of one that is gone, is another one.
+/// One incarnation of a backend server, as the platform lists it. State that is
+/// kept about a server belongs to its incarnation: a server that restarts,
+/// under its own name or at another server's former address, is another one.
 struct BackendServer {
-  /// Tells each start from all others: the name, and when it was.
+  /// Unique for each incarnation: the name and the start time.
   std::string id_;
-  /// What the platform and the server itself call it, at each start the same.
+  /// Name used by the platform and the server itself; the same in all
+  /// incarnations.
   std::string name_;
-  /// By the server's clock, in milliseconds since 1970; 0 when it is not said.
-  /// Compared with other starts of the same server only.
+  /// Start time by the server's clock, in milliseconds since 1970; 0 when
+  /// unknown. Comparable only with other incarnations of the same server.
   int64_t started_ms_ = 0;
   std::string service_;
-  /// "IP:port".
+  /// Endpoint as "IP:port".
   std::string address_;
   std::string failure_domain_;
   uint32_t slots_ = 1;
-  /// Takes no new work.
+  /// Whether it takes no new work.
   bool leaving_ = false;
 
   bool operator==(const BackendServer& other) const {
--- a/include/citronlane/serving/caller_limits.h
+++ b/include/citronlane/serving/caller_limits.h
@@ -7,8 +7,8 @@
 
 namespace citronlane {
 
-/// Bounds on what a caller may send and how long it may take or stay idle. The
-/// defaults hold until a configuration says otherwise.
+/// Limits on a caller's requests and connections. The defaults apply until a
+/// configuration sets others.
 struct CallerLimits {
   uint64_t header_bytes_ = 16 << 10;
   uint64_t body_bytes_ = 4 << 20;
--- a/include/citronlane/serving/client_account.h
+++ b/include/citronlane/serving/client_account.h
@@ -8,11 +8,11 @@
 
 namespace citronlane {
 
-/// A client account and the keys its callers show.
+/// A client account and the API keys of its callers.
 struct ClientAccount {
   std::string name_;
   std::vector<std::string> keys_;
-  /// Goes before the route's priority when set.
+  /// Overrides the route's priority when set.
   std::optional<uint32_t> priority_;
 };
 
--- a/include/citronlane/serving/dialect.h
+++ b/include/citronlane/serving/dialect.h
@@ -22,33 +22,36 @@
 
 namespace citronlane {
 
-/// How a platform names and writes what the product says and hears: everything
-/// that knows a platform's headers, paths and bodies stands behind these hooks.
-/// They translate and decide nothing. All are set and thread safe.
+/// Translates between the product's types and a platform's headers, paths and
+/// bodies; everything that depends on a platform is behind these hooks. They
+/// make no decisions. All must be set; all are thread safe except read_config_,
+/// whose calls must not overlap.
 struct Dialect {
   using Headers = absl::Span<const HttpHeader>;
 
-  /// Reads an operator's document. Calls must not overlap: what one read is
-  /// there for the next. Null with one line a fault when the document can't be
-  /// read or makes no configuration.
+  /// Reads an operator's document. Calls must not overlap, because results of
+  /// one call are reused by the next. Returns null when the document cannot be
+  /// parsed or makes no valid configuration, with one line for each validation
+  /// error.
   std::function<std::shared_ptr<const ServingConfig>(
       std::string_view document,
       std::vector<std::string>* faults)>
       read_config_;
   std::function<OperatorCall(std::string_view method, std::string_view path)>
       operator_call_;
-  /// Path on which a gateway is asked whether it takes callers.
+  /// Path of a gateway's readiness check.
   std::string ready_path_;
 
   std::function<RequestHead(Headers caller)> read_request_;
-  /// Headers for the backend server: the caller's, without those that are a
-  /// gateway's to set, and those of `head`.
+  /// Headers for the backend server: those of `head`, and the caller's without
+  /// any that only a gateway may set.
   std::function<std::vector<HttpHeader>(Headers caller,
                                         const ServerCallHead& head)>
       write_call_;
   std::function<ServerReplyHead(int status, Headers reply)> read_reply_;
 
-  /// Target of the call that lists servers from a page on ("" for the first).
+  /// Target of the call that lists servers, starting at a page ("" for the
+  /// first).
   std::function<std::string(std::string_view page)> list_target_;
   std::function<std::optional<ServerPage>(std::string_view body, Error* error)>
       read_list_;
@@ -56,7 +59,7 @@
   std::string stage_call_path_;
   std::function<std::string(absl::Span<const StagePiece> pieces)>
       write_stage_call_;
-  /// One result a piece, in order.
+  /// One result for each piece, in the order of the pieces.
   std::function<std::optional<std::vector<StagePieceResult>>(
       std::string_view body,
       Error* error)>
--- a/include/citronlane/serving/engine_spec.h
+++ b/include/citronlane/serving/engine_spec.h
@@ -5,11 +5,11 @@
 
 namespace citronlane {
 
-/// What each model engine of a service can take.
+/// Capacity of each model engine of a service.
 struct EngineSpec {
-  /// Requests that run at the same time.
+  /// Number of requests that run at the same time.
   uint32_t slots_ = 1;
-  /// Tokens that fit its memory.
+  /// Number of tokens that fit its memory.
   uint64_t memory_tokens_ = 0;
 };
 
--- a/include/citronlane/serving/event_splitter.h
+++ b/include/citronlane/serving/event_splitter.h
@@ -8,31 +8,33 @@
 
 namespace citronlane {
 
-/// Cuts an event stream (text/event-stream) into whole events and follows their
-/// numbers, so that a stream that broke can go on elsewhere without a gap or a
-/// repeat. Pure. Not thread safe.
+/// Splits an event stream (text/event-stream) into complete events and checks
+/// their numbers, so that a broken stream can be continued on another server
+/// without a gap or a repeat. It does not interpret the events' data. Pure: no
+/// I/O. Not thread safe.
 class EventSplitter {
  public:
-  enum class Taken {
+  enum class FeedResult {
     kGood,
-    /// An event's number does not follow the one before.
+    /// An event's number is not the previous number plus one.
     kOutOfOrder,
-    /// An event is larger than any that a server sends.
+    /// A partly received event exceeds the size limit.
     kTooLarge,
   };
 
-  /// `last_event`: number of the last event that the caller has, if any.
+  /// `last_event` is the number of the last event that the caller has, if any.
   explicit EventSplitter(std::optional<uint64_t> last_event);
 
-  /// Takes bytes of the stream and appends the whole events among them to
-  /// `whole`, as they came.
-  Taken Feed(std::string_view bytes, std::string* whole);
+  /// Takes bytes of the stream and appends the events that are now complete to
+  /// `complete`, unchanged. After any result but kGood, call DropPartial()
+  /// before bytes of a continuation are fed.
+  FeedResult Feed(std::string_view bytes, std::string* complete);
 
-  /// Forgets an event of which only a part came: the stream goes on elsewhere.
+  /// Discards a partly received event; call before the stream is continued.
   void DropPartial() { partial_.clear(); }
 
   bool has_partial() const { return !partial_.empty(); }
-  /// Number of the last whole event.
+  /// Number of the last complete event; nothing when there was none.
   std::optional<uint64_t> last_event() const { return last_event_; }
   uint64_t events() const { return events_; }
 
--- a/include/citronlane/serving/operator_call.h
+++ b/include/citronlane/serving/operator_call.h
@@ -5,7 +5,7 @@
 
 namespace citronlane {
 
-/// What an operator's HTTP call asks for.
+/// Request of an operator's HTTP call.
 struct OperatorCall {
   enum class Kind {
     kUnknown,
@@ -13,12 +13,12 @@
     kReadConfig,
     /// The servers of a failure domain take no new work from now on.
     kDrainDomain,
-    /// They take it again.
+    /// The servers of a failure domain take new work again.
     kUndrainDomain,
   };
 
   Kind kind_ = Kind::kUnknown;
-  /// Of the last two kinds.
+  /// Set for the last two kinds.
   std::string failure_domain_;
 };
 
--- a/include/citronlane/serving/prompt_part.h
+++ b/include/citronlane/serving/prompt_part.h
@@ -6,8 +6,8 @@
 
 namespace citronlane {
 
-/// A part of a request's prompt; requests that share their first parts share
-/// what an engine keeps of them.
+/// A segment of a request's prompt. Requests with the same leading segments
+/// share what an engine caches of them.
 struct PromptPart {
   std::string id_;
   uint32_t tokens_ = 0;
--- a/include/citronlane/serving/request_head.h
+++ b/include/citronlane/serving/request_head.h
@@ -11,24 +11,25 @@
 
 namespace citronlane {
 
-/// What a caller's headers say, beyond what HTTP itself needs.
+/// Contents of a caller's headers, beyond those that HTTP itself needs.
 struct RequestHead {
-  /// One attempt of a caller; empty when it gave none.
+  /// Identifies one attempt of a caller; empty when missing.
   std::string request_id_;
   std::string host_;
-  /// How long the caller waits from now on.
+  /// How long the caller waits, counted from now.
   std::optional<Duration> time_left_;
   std::string account_key_;
-  /// Pieces of each stage, 0 for a stage that is left out.
+  /// Number of pieces of each stage; 0 for a stage that is skipped.
   std::vector<uint32_t> stage_pieces_;
   std::string stage_key_;
-  /// Parts of the prompt in order; the last one is the request's own.
+  /// Segments of the prompt in order; the last one belongs to this request
+  /// alone.
   std::vector<PromptPart> prompt_;
   uint32_t prompt_tokens_ = 0;
   uint32_t most_output_tokens_ = 0;
-  /// The caller's estimate; 0 when it gave none.
+  /// The caller's estimate; 0 when missing.
   uint32_t expected_output_tokens_ = 0;
-  /// Number of the last event that the caller has of this stream.
+  /// Number of the last event of this stream that the caller has.
   std::optional<uint64_t> last_event_;
 };
 
--- a/include/citronlane/serving/result_handle.h
+++ b/include/citronlane/serving/result_handle.h
@@ -5,8 +5,8 @@
 
 namespace citronlane {
 
-/// Address of the server that made and keeps a stage result: its handle begins
-/// with it. The view is into the handle. Thread safe.
+/// Address of the server that produced and keeps a stage result, with which the
+/// result's handle begins. The view points into `handle`. Thread safe.
 inline std::string_view MakerAddress(std::string_view handle) {
   return handle.substr(0, handle.find('/'));
 }
--- a/include/citronlane/serving/route.h
+++ b/include/citronlane/serving/route.h
@@ -12,28 +12,29 @@
 
 namespace citronlane {
 
-/// How requests for one host and path prefix are served.
+/// How requests for a host and path prefix are served.
 struct Route {
   std::string name_;
   std::string host_;
   /// Begins and ends with '/'.
   std::string prefix_;
   RouteKind kind_ = RouteKind::kUnsafe;
-  /// Longest time until the final answer.
+  /// Longest time until the response is complete.
   Duration timeout_{};
-  /// Answers within this time meet the target; streams: the first event.
+  /// A response within this time meets the target; for streams, the first
+  /// event.
   Duration target_latency_{};
-  /// Longest pause between two events that still meets the target; 0: none.
+  /// Longest pause between two events that meets the target; 0 for no limit.
   Duration target_gap_{};
-  /// Callers give up a stream that brings no event for this long; 0: never.
+  /// Callers abandon a stream that sends no event for this long; 0 for never.
   Duration caller_patience_{};
   /// 0 is the most urgent.
   uint32_t priority_ = 0;
-  /// Most backend servers that one request may be sent to.
+  /// Maximum number of backend servers to which one request may be sent.
   uint32_t max_attempts_ = 1;
   bool is_public_ = false;
   bool resumable_ = false;
-  /// At least one, weights add up to more than 0.
+  /// At least one; the sum of the weights is above 0.
   std::vector<WeightedService> split_;
   std::vector<RouteStage> stages_;
 
--- a/include/citronlane/serving/route_cache.h
+++ b/include/citronlane/serving/route_cache.h
@@ -13,46 +13,46 @@
 
 namespace citronlane {
 
-/// Reads the routes of one version of a configuration after the other: a route
-/// whose text was there last time is taken over instead of parsed. Pure. Not
-/// thread safe.
+/// Reads the routes of successive versions of a configuration: a route whose
+/// text is unchanged is shared with the previous version and not parsed again.
+/// Pure: no I/O. Not thread safe.
 class RouteCache {
  public:
-  /// The route that a JSON object's text declares; nothing when it declares
-  /// none.
+  /// Parses the text of a JSON object; nothing when it declares no route.
   using ReadHook = std::function<std::optional<Route>(std::string_view text)>;
 
   struct Array {
     std::vector<std::shared_ptr<const Route>> routes_;
-    /// Behind its closing bracket.
+    /// Offset behind the closing bracket.
     size_t end_ = 0;
   };
 
   explicit RouteCache(ReadHook read);
 
-  /// Routes of the JSON array that `text` begins with, in its order. Nothing
-  /// when the array can't be split into its elements, or one of them declares
-  /// no route; what is known of the last array stays then.
+  /// Reads the routes of the JSON array that `text` begins with, in its order.
+  /// Returns nothing when the array cannot be split into its elements or an
+  /// element declares no route; the cache then stays as it was.
   std::optional<Array> Read(std::string_view text);
 
  private:
-  /// A route by its text.
-  struct Known {
+  /// A route and its text.
+  struct CachedRoute {
     std::string_view text_;
     std::shared_ptr<const Route> route_;
   };
 
-  const Known* FindAt(std::string_view array,
-                      size_t begin,
-                      size_t expected) const;
-  const Known* FindByText(std::string_view text);
-  void Keep(std::string_view array, std::vector<Known> known);
+  const CachedRoute* FindAt(std::string_view array,
+                            size_t begin,
+                            size_t expected) const;
+  const CachedRoute* FindByText(std::string_view text);
+  void Store(std::string_view array, std::vector<CachedRoute> cached);
 
   const ReadHook read_;
-  /// What the texts of `known_` lie in.
+  /// Copy of the last array; the texts of `cached_` point into it.
   std::string array_;
-  std::vector<Known> known_;
-  /// Places in `known_`; filled once an element is not where it was.
+  std::vector<CachedRoute> cached_;
+  /// Indices into `cached_` by text; built when an element is not at its
+  /// expected position.
   std::unordered_map<std::string_view, size_t> by_text_;
 };
 
--- a/include/citronlane/serving/route_kind.h
+++ b/include/citronlane/serving/route_kind.h
@@ -3,14 +3,14 @@
 
 namespace citronlane {
 
-/// What a route's requests are, and so what may be repeated.
+/// Kind of a route's requests, which determines what may be repeated.
 enum class RouteKind {
-  /// Idempotent.
+  /// Idempotent requests.
   kSafe,
-  /// Runs at most once.
+  /// Requests that run at most once.
   kUnsafe,
-  /// Answered by a stream of numbered events; runs at most once unless it may
-  /// be resumed.
+  /// Requests with a stream of numbered events as the response; they run at
+  /// most once unless the route is resumable.
   kStreaming,
 };
 
--- a/include/citronlane/serving/route_place.h
+++ b/include/citronlane/serving/route_place.h
@@ -7,23 +7,22 @@
 
 namespace citronlane {
 
-/// What a route serves: paths of a host that begin with a prefix. The names lie
-/// elsewhere.
-struct RoutePlace {
-  /// For hash tables by place. Thread safe.
+/// Key of a route: a host and a path prefix. The strings are owned elsewhere.
+struct RouteKey {
+  /// Hash for hash tables. Thread safe.
   struct Hash {
-    size_t operator()(const RoutePlace& place) const {
-      // Tells a host and a prefix from the two exchanged.
+    size_t operator()(const RouteKey& key) const {
+      // Makes the hash depend on the order of host and prefix.
       constexpr size_t kFactor = 31;
       const std::hash<std::string_view> hash;
-      return hash(place.host_) * kFactor + hash(place.prefix_);
+      return hash(key.host_) * kFactor + hash(key.prefix_);
     }
   };
 
   std::string_view host_;
   std::string_view prefix_;
 
-  bool operator==(const RoutePlace& other) const {
+  bool operator==(const RouteKey& other) const {
     return prefix_ == other.prefix_ && host_ == other.host_;
   }
 };
--- a/include/citronlane/serving/route_stage.h
+++ b/include/citronlane/serving/route_stage.h
@@ -7,10 +7,10 @@
 
 namespace citronlane {
 
-/// Work to be done before a route's request itself can run.
+/// A stage that must be done before a route's request itself can run.
 struct RouteStage {
   std::string service_;
-  /// Earlier stages whose results this one needs.
+  /// Indices of earlier stages whose results this one needs.
   std::vector<uint32_t> after_;
   /// Approximate size of one result.
   uint64_t result_bytes_ = 0;
--- a/include/citronlane/serving/server_call_head.h
+++ b/include/citronlane/serving/server_call_head.h
@@ -10,19 +10,18 @@
 
 namespace citronlane {
 
-/// What a gateway tells a backend server beyond what the caller sent.
+/// What a gateway sends to a backend server besides the caller's headers.
 struct ServerCallHead {
   Duration time_left_{};
-  /// The server that is meant, by its own name: whoever else has its address
-  /// refuses.
+  /// Name of the intended server: any other server at its address refuses.
   std::string server_name_;
   /// Empty when the configuration has no accounts.
   std::string account_;
-  /// 0 (first) to 9; engines admit the more urgent request first.
+  /// 0 (first) to 9; engines admit more urgent requests first.
   std::optional<uint32_t> urgency_;
-  /// Handles of the stages' results that the request needs.
+  /// Handles of the stage results that the request needs.
   std::vector<std::string> inputs_;
-  /// Set to go on with a stream behind this event.
+  /// Number of the event after which a stream is to be continued, if any.
   std::optional<uint64_t> last_event_;
 };
 
--- a/include/citronlane/serving/server_page.h
+++ b/include/citronlane/serving/server_page.h
@@ -11,10 +11,10 @@
 /// One page of the platform's list of backend servers.
 struct ServerPage {
   std::vector<BackendServer> servers_;
-  /// Entries that name no server to use: they could not be read, or say what
-  /// the platform doesn't.
+  /// Number of entries that name no usable server: they are malformed, or
+  /// contradict the platform.
   size_t unusable_ = 0;
-  /// Names the next page; empty on the last one.
+  /// Identifies the next page; empty on the last one.
   std::string next_;
 };
 
--- a/include/citronlane/serving/server_reply_head.h
+++ b/include/citronlane/serving/server_reply_head.h
@@ -8,19 +8,20 @@
 
 namespace citronlane {
 
-/// What a backend server's headers say of its reply.
+/// Contents of the headers of a backend server's reply.
 struct ServerReplyHead {
-  /// Id of the request that the reply belongs to; empty when it names none.
+  /// Id of the request that the reply belongs to; empty when missing.
   std::string request_id_;
-  /// The server says that it did not run the request and never will.
+  /// The server states that it did not run the request and never will.
   bool not_run_ = false;
-  /// Another server has the address: the one that was meant is gone.
+  /// Another server has the address; the intended one is gone.
   bool wrong_server_ = false;
-  /// Carries the server's proof that the answer is its own.
+  /// Whether the reply has a response seal: the server's checksum that shows
+  /// that the reply is complete and of this request.
   bool sealed_ = false;
-  /// The request, or the seal, stands there more than once.
+  /// The request id or the response seal appears more than once.
   bool is_ambiguous_ = false;
-  /// How long the server keeps the idle connection.
+  /// How long the server keeps the idle connection open.
   std::optional<Duration> idle_time_;
 };
 
--- a/include/citronlane/serving/service.h
+++ b/include/citronlane/serving/service.h
@@ -13,9 +13,9 @@
 /// A set of backend servers that do the same work.
 struct Service {
   std::string name_;
-  /// Connections that one server takes from all gateways together.
+  /// Connections that one server accepts from all gateways together.
   uint32_t max_connections_ = 0;
-  /// Set for services that do stages.
+  /// Set for services that run stages.
   std::optional<StagePoolSpec> stage_pool_;
   /// Set for services of model engines.
   std::optional<EngineSpec> engine_;
--- a/include/citronlane/serving/serving_config.h
+++ b/include/citronlane/serving/serving_config.h
@@ -17,19 +17,20 @@
 
 namespace citronlane {
 
-/// One version of what the operator wants: routes, services, client accounts.
-/// Immutable once built; readers may share it.
+/// One version of the operator's configuration: routes, services and client
+/// accounts. It only answers lookups; platform code reads it from a document.
+/// Immutable after construction; may be shared between threads.
 class ServingConfig {
  public:
   using Routes = std::vector<std::shared_ptr<const Route>>;
 
-  /// Parts as the operator declared them.
+  /// Contents as the operator declared them.
   struct Parts {
     uint64_t version_ = 0;
-    /// Shared with the versions before and after, as far as they are the same.
+    /// Shared with other versions as far as they are unchanged.
     Routes routes_;
     std::vector<Service> services_;
-    /// No accounts: every route is open.
+    /// Empty when every route is open.
     std::vector<ClientAccount> accounts_;
     CallerLimits limits_;
   };
@@ -38,8 +39,8 @@
   ServingConfig(const ServingConfig&) = delete;
   ServingConfig& operator=(const ServingConfig&) = delete;
 
-  /// Returns what is wrong with the parts, one line each; empty when they make
-  /// a configuration. Thread safe.
+  /// Returns the validation errors of `parts`, one line each; empty when they
+  /// make a valid configuration. Thread safe.
   static std::vector<std::string> Faults(const Parts& parts);
 
   uint64_t version() const { return parts_.version_; }
@@ -48,17 +49,17 @@
   const std::vector<Service>& services() const { return parts_.services_; }
   bool has_accounts() const { return !parts_.accounts_.empty(); }
 
-  /// Route of that host whose prefix is the longest that begins `path`; null
-  /// when there is none. `path` holds no query.
+  /// Route of the host with the longest prefix that `path` begins with; null
+  /// when there is none. `path` must not contain a query.
   const Route* FindRoute(std::string_view host, std::string_view path) const;
-  /// Account that holds the key; null when none does.
+  /// Account that has the key; null when there is none.
   const ClientAccount* FindAccount(std::string_view key) const;
   const Service* FindService(std::string_view name) const;
 
  private:
   const Parts parts_;
-  /// The names lie in `parts_`.
-  std::unordered_map<RoutePlace, const Route*, RoutePlace::Hash> by_place_;
+  /// The keys point into `parts_`.
+  std::unordered_map<RouteKey, const Route*, RouteKey::Hash> by_route_key_;
   std::unordered_map<std::string, const ClientAccount*> by_key_;
   std::map<std::string, const Service*, std::less<>> by_name_;
 };
--- a/include/citronlane/serving/stage_piece.h
+++ b/include/citronlane/serving/stage_piece.h
@@ -9,16 +9,17 @@
 
 namespace citronlane {
 
-/// One piece of a stage as a backend server is asked for it.
+/// One piece of a stage, as it is requested from a backend server.
 struct StagePiece {
   std::string request_id_;
   uint32_t stage_ = 0;
   uint32_t piece_ = 0;
   Duration time_left_{};
-  /// Results that the piece works on, in a stage that needs other stages'.
+  /// Handles of the results that the piece works on, if its stage depends on
+  /// others.
   bool has_inputs_ = false;
   std::vector<std::string> inputs_;
-  /// In a stage that needs none.
+  /// Key that the piece works on, if its stage depends on no other.
   std::string key_;
 };
 
--- a/include/citronlane/serving/stage_piece_result.h
+++ b/include/citronlane/serving/stage_piece_result.h
@@ -5,21 +5,21 @@
 
 namespace citronlane {
 
-/// What a backend server made of one piece.
+/// A backend server's result of one piece.
 struct StagePieceResult {
   enum class Outcome {
     kDone,
-    /// Its time was over before its turn.
+    /// Its deadline passed before its turn.
     kLate,
     /// One of its inputs is gone.
     kInputGone,
-    /// The server has no room for the result.
+    /// The server is out of capacity for the result.
     kNoRoom,
     kFailed,
   };
 
   Outcome outcome_ = Outcome::kFailed;
-  /// Names the result at its maker, "IP:port/...".
+  /// Handle of the result, "IP:port/...", with the address of its producer.
   std::string handle_;
 };
 
--- a/include/citronlane/serving/stage_pool_spec.h
+++ b/include/citronlane/serving/stage_pool_spec.h
@@ -7,21 +7,21 @@
 
 namespace citronlane {
 
-/// What each backend server of a stage pool can take. A call costs `call_time_`
-/// however few pieces it carries.
+/// Capacity of each backend server of a stage pool. A call takes `call_time_`
+/// however few pieces it contains.
 struct StagePoolSpec {
-  /// Calls at the same time.
+  /// Number of calls at the same time.
   uint32_t slots_ = 1;
-  /// Calls that may wait at the server.
+  /// Number of calls that may wait at the server.
   uint32_t queue_ = 0;
-  /// Most pieces a call.
+  /// Maximum number of pieces in a call.
   uint32_t batch_ = 1;
   Duration call_time_{};
-  /// Approximate; differs by stage.
+  /// Additional time for each piece; approximate, differs by stage.
   Duration piece_time_{};
-  /// Room for results.
+  /// Capacity for results.
   uint64_t room_bytes_ = 0;
-  /// How long a result is kept that nobody frees.
+  /// How long a result is kept unless it is freed.
   Duration result_life_{};
 };
 
--- a/include/citronlane/serving/weighted_service.h
+++ b/include/citronlane/serving/weighted_service.h
@@ -5,7 +5,7 @@
 
 namespace citronlane {
 
-/// A service's share of a route's requests.
+/// A service and its weight in the distribution of a route's requests.
 struct WeightedService {
   std::string service_;
   double weight_ = 1;
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -143,7 +143,7 @@
         PLATFORM + "StartAgainTest.test_unsafe_request_in_hand_runs_once",
         PLATFORM + "StartAgainTest.test_unsafe_request_of_a_start_that_fell_"
         "silent_runs_once",
-        "unit-serving: what may repeat"]),
+        "unit-serving: routes whose requests may repeat"]),
     ("REFUSED: a promise that nothing ran is true", [
         PLATFORM + "RequestTest.test_refused_everywhere_is_told_so",
         PLATFORM + "StartAgainTest.test_lost_stage_calls_may_have_run",
@@ -190,8 +190,8 @@
         "a_stopped_gateway_has_not_read",
         "unit-gateway-feed: changes come faster than a gateway's link carries "
         "whole documents",
-        "unit-config-reader: a document after others reads as it does by "
-        "itself",
+        "unit-config-reader: a document reads the same after others as "
+        "alone",
         "unit-serving: config register", "unit-relay: fleet view"]),
     ("RECOVER: what was acknowledged survives", [
         PLATFORM + "ControlLossTest.test_all_killed_at_once",
--- a/src/relay/relay_request_replies.cc
+++ b/src/relay/relay_request_replies.cc
@@ -129,11 +129,11 @@
     }
     const bool is_done = attempt->is_done();
     std::string complete;
-    const auto taken = events_.Feed(attempt->TakeData(), &complete);
+    const auto result = events_.Feed(attempt->TakeData(), &complete);
     if (!complete.empty() && !ForwardEvents(complete, *attempt)) {
       return {};
     }
-    if (taken != EventSplitter::Taken::kGood) {
+    if (result != EventSplitter::FeedResult::kGood) {
       attempt->Cancel();
       return {Step::kMayHaveRun, "events out of order"};
     }
--- a/src/serving/event_splitter.cc
+++ b/src/serving/event_splitter.cc
@@ -8,7 +8,8 @@
 
 constexpr size_t kMaxEventBytes = size_t{1} << 20;
 
-// End of the first whole event, behind its empty line; npos when there is none.
+// Offset behind the blank line of the first complete event; npos when there is
+// none.
 size_t EndOfEvent(std::string_view text) {
   const size_t plain = text.find("\n\n");
   const size_t carriage = text.find("\r\n\r\n");
@@ -45,11 +46,11 @@
 EventSplitter::EventSplitter(std::optional<uint64_t> last_event)
     : last_event_(last_event) {}
 
-EventSplitter::Taken EventSplitter::Feed(std::string_view bytes,
-                                         std::string* whole) {
+EventSplitter::FeedResult EventSplitter::Feed(std::string_view bytes,
+                                              std::string* complete) {
   partial_.append(bytes);
   size_t begin = 0;
-  Taken taken = Taken::kGood;
+  FeedResult result = FeedResult::kGood;
   while (true) {
     const std::string_view all = partial_;
     const std::string_view rest = all.substr(begin);
@@ -59,21 +60,21 @@
     }
     const std::string_view event = rest.substr(0, size);
     if (!Follows(event)) {
-      taken = Taken::kOutOfOrder;
+      result = FeedResult::kOutOfOrder;
       break;
     }
-    whole->append(event);
+    complete->append(event);
     ++events_;
     begin += size;
   }
   partial_.erase(0, begin);
-  if (taken == Taken::kGood && partial_.size() > kMaxEventBytes) {
-    taken = Taken::kTooLarge;
+  if (result == FeedResult::kGood && partial_.size() > kMaxEventBytes) {
+    result = FeedResult::kTooLarge;
   }
-  return taken;
+  return result;
 }
 
-// Events without a number carry nothing that could be joined wrongly.
+// An event without a number cannot be out of order.
 bool EventSplitter::Follows(std::string_view event) {
   const auto number = NumberOf(event);
   if (!number) {
--- a/src/serving/route_cache.cc
+++ b/src/serving/route_cache.cc
@@ -13,28 +13,28 @@
     return std::nullopt;
   }
   Array array;
-  std::vector<Known> known;
-  array.routes_.reserve(known_.size());
-  known.reserve(known_.size());
+  std::vector<CachedRoute> cached;
+  array.routes_.reserve(cached_.size());
+  cached.reserve(cached_.size());
   size_t expected = 0;
-  size_t place = SkipSpace(text, 1);
-  bool is_over = place < text.size() && text[place] == ']';
+  size_t position = SkipSpace(text, 1);
+  bool is_over = position < text.size() && text[position] == ']';
   while (!is_over) {
-    const Known* same = FindAt(text, place, expected);
+    const CachedRoute* same = FindAt(text, position, expected);
     std::string_view element;
     if (same != nullptr) {
-      element = text.substr(place, same->text_.size());
+      element = text.substr(position, same->text_.size());
     } else {
-      const auto range = FindValue(text, place);
+      const auto range = FindValue(text, position);
       if (!range) {
         return std::nullopt;
       }
-      element = text.substr(place, range->end_ - place);
+      element = text.substr(position, range->end_ - position);
       same = FindByText(element);
     }
     std::shared_ptr<const Route> route;
     if (same != nullptr) {
-      expected = static_cast<size_t>(same - known_.data()) + 1;
+      expected = static_cast<size_t>(same - cached_.data()) + 1;
       route = same->route_;
     } else {
       auto read = read_(element);
@@ -44,49 +44,51 @@
       route = std::make_shared<const Route>(std::move(*read));
     }
     array.routes_.push_back(route);
-    known.push_back({element, std::move(route)});
-    place = SkipSpace(text, place + element.size());
-    if (place >= text.size() || (text[place] != ',' && text[place] != ']')) {
+    cached.push_back({element, std::move(route)});
+    position = SkipSpace(text, position + element.size());
+    if (position >= text.size() ||
+        (text[position] != ',' && text[position] != ']')) {
       return std::nullopt;
     }
-    is_over = text[place] == ']';
-    place = is_over ? place : SkipSpace(text, place + 1);
+    is_over = text[position] == ']';
+    position = is_over ? position : SkipSpace(text, position + 1);
   }
-  array.end_ = place + 1;
-  Keep(text.substr(0, array.end_), std::move(known));
+  array.end_ = position + 1;
+  Store(text.substr(0, array.end_), std::move(cached));
   return array;
 }
 
-// Most elements stand where they stood, behind the one that came before them.
-const RouteCache::Known* RouteCache::FindAt(std::string_view array,
-                                            size_t begin,
-                                            size_t expected) const {
-  if (expected >= known_.size()) {
+// Most elements still follow the element that preceded them in the last array.
+const RouteCache::CachedRoute* RouteCache::FindAt(std::string_view array,
+                                                  size_t begin,
+                                                  size_t expected) const {
+  if (expected >= cached_.size()) {
     return nullptr;
   }
-  const std::string_view text = known_[expected].text_;
-  return array.compare(begin, text.size(), text) == 0 ? &known_[expected]
+  const std::string_view text = cached_[expected].text_;
+  return array.compare(begin, text.size(), text) == 0 ? &cached_[expected]
                                                       : nullptr;
 }
 
-const RouteCache::Known* RouteCache::FindByText(std::string_view text) {
+const RouteCache::CachedRoute* RouteCache::FindByText(std::string_view text) {
   if (by_text_.empty()) {
-    by_text_.reserve(known_.size());
-    for (size_t i = 0; i < known_.size(); ++i) {
-      by_text_.emplace(known_[i].text_, i);
+    by_text_.reserve(cached_.size());
+    for (size_t i = 0; i < cached_.size(); ++i) {
+      by_text_.emplace(cached_[i].text_, i);
     }
   }
   const auto found = by_text_.find(text);
-  return found == by_text_.end() ? nullptr : &known_[found->second];
+  return found == by_text_.end() ? nullptr : &cached_[found->second];
 }
 
-// The texts move from the caller's array to the copy of it.
-void RouteCache::Keep(std::string_view array, std::vector<Known> known) {
+// Makes the texts point into the copy in place of the caller's array.
+void RouteCache::Store(std::string_view array,
+                       std::vector<CachedRoute> cached) {
   by_text_.clear();
   array_ = array;
-  known_ = std::move(known);
+  cached_ = std::move(cached);
   const std::string_view kept = array_;
-  for (Known& entry : known_) {
+  for (CachedRoute& entry : cached_) {
     const auto offset = static_cast<size_t>(entry.text_.data() - array.data());
     entry.text_ = kept.substr(offset, entry.text_.size());
   }
--- a/src/serving/serving_config.cc
+++ b/src/serving/serving_config.cc
@@ -7,18 +7,18 @@
 namespace {
 
 using Parts = ServingConfig::Parts;
-using Lines = std::vector<std::string>;
+using Messages = std::vector<std::string>;
 using Names = std::unordered_set<std::string_view>;
 
-void CheckStages(const Route& route, const Names& services, Lines* faults) {
+void CheckStages(const Route& route, const Names& services, Messages* faults) {
   for (size_t i = 0; i < route.stages_.size(); ++i) {
     const RouteStage& stage = route.stages_[i];
     if (services.count(stage.service_) == 0) {
       faults->push_back("route " + route.name_ + ": stage " +
                         std::to_string(i) + " names an unknown service");
     }
-    for (const uint32_t before : stage.after_) {
-      if (before >= i) {
+    for (const uint32_t dependency : stage.after_) {
+      if (dependency >= i) {
         faults->push_back("route " + route.name_ + ": stage " +
                           std::to_string(i) +
                           " needs a stage that does not come before it");
@@ -27,13 +27,13 @@
   }
 }
 
-void CheckRoute(const Route& route, const Names& services, Lines* faults) {
+void CheckRoute(const Route& route, const Names& services, Messages* faults) {
   double weight = 0;
-  for (const WeightedService& part : route.split_) {
-    weight += part.weight_;
-    if (services.count(part.service_) == 0) {
+  for (const WeightedService& weighted : route.split_) {
+    weight += weighted.weight_;
+    if (services.count(weighted.service_) == 0) {
       faults->push_back("route " + route.name_ +
-                        " names an unknown service: " + part.service_);
+                        " names an unknown service: " + weighted.service_);
     }
   }
   if (weight <= 0) {
@@ -50,7 +50,7 @@
   CheckStages(route, services, faults);
 }
 
-void CheckAccounts(const Parts& parts, Lines* faults) {
+void CheckAccounts(const Parts& parts, Messages* faults) {
   Names keys;
   for (const ClientAccount& account : parts.accounts_) {
     for (const std::string& key : account.keys_) {
@@ -65,18 +65,18 @@
 }  // namespace
 
 std::vector<std::string> ServingConfig::Faults(const Parts& parts) {
-  Lines faults;
+  Messages faults;
   Names services;
   for (const Service& service : parts.services_) {
     if (!services.insert(service.name_).second) {
       faults.push_back("service " + service.name_ + " is declared twice");
     }
   }
-  std::unordered_set<RoutePlace, RoutePlace::Hash> places;
-  places.reserve(parts.routes_.size());
+  std::unordered_set<RouteKey, RouteKey::Hash> route_keys;
+  route_keys.reserve(parts.routes_.size());
   for (const auto& route : parts.routes_) {
     CheckRoute(*route, services, &faults);
-    if (!places.insert({route->host_, route->prefix_}).second) {
+    if (!route_keys.insert({route->host_, route->prefix_}).second) {
       faults.push_back("route " + route->name_ +
                        ": another route has its host and prefix");
     }
@@ -86,9 +86,9 @@
 }
 
 ServingConfig::ServingConfig(Parts parts) : parts_(std::move(parts)) {
-  by_place_.reserve(parts_.routes_.size());
+  by_route_key_.reserve(parts_.routes_.size());
   for (const auto& route : parts_.routes_) {
-    by_place_[{route->host_, route->prefix_}] = route.get();
+    by_route_key_[{route->host_, route->prefix_}] = route.get();
   }
   for (const ClientAccount& account : parts_.accounts_) {
     for (const std::string& key : account.keys_) {
@@ -102,11 +102,11 @@
 
 const Route* ServingConfig::FindRoute(std::string_view host,
                                       std::string_view path) const {
-  // Cut the path at each '/', the longest part first.
+  // Shortens the path at each '/', trying the longest prefix first.
   std::string_view prefix = path.substr(0, path.rfind('/') + 1);
   while (!prefix.empty()) {
-    const auto route = by_place_.find({host, prefix});
-    if (route != by_place_.end()) {
+    const auto route = by_route_key_.find({host, prefix});
+    if (route != by_route_key_.end()) {
       return route->second;
     }
     prefix.remove_suffix(1);
--- a/tests/unit-config-reader.cc
+++ b/tests/unit-config-reader.cc
@@ -37,7 +37,7 @@
                 R"({"name":"a","api_keys":["k1"]}]})";
 }
 
-/// Everything that a configuration says, to compare.
+/// The contents of a configuration as text, for comparison.
 std::string Contents(const std::shared_ptr<const ServingConfig>& config) {
   if (!config) {
     return "refused";
@@ -51,8 +51,8 @@
         << route.name_ << ' ' << route.host_ << ' ' << route.prefix_ << ' '
         << static_cast<int>(route.kind_) << ' ' << route.timeout_.count() << ' '
         << route.resumable_ << ' ' << route.caller_patience_.count();
-    for (const WeightedService& part : route.split_) {
-      out << ' ' << part.service_ << ' ' << part.weight_;
+    for (const WeightedService& weighted : route.split_) {
+      out << ' ' << weighted.service_ << ' ' << weighted.weight_;
     }
     for (const RouteStage& stage : route.stages_) {
       out << ' ' << stage.service_ << ' ' << stage.result_bytes_;
@@ -63,7 +63,7 @@
   return out.str();
 }
 
-/// Reads a document after those before it, and by itself.
+/// Reads each document with a reader that has read others, and alone.
 class BothReaders {
  public:
   void Check(const std::string& document) {
@@ -128,8 +128,8 @@
   CHECK(member(R"(["a"])", "a") == "none");
 }
 
-// Copies of thousands of routes a version held up the requests of gateways with
-// little processor time.
+// Copying thousands of routes for each version delayed the requests of gateways
+// with little processor time.
 TEST_CASE("versions share the routes that did not change") {
   const auto route = [](const std::string& host, int timeout) {
     return R"({"name":"r","hostname":")" + host +
@@ -152,7 +152,7 @@
   CHECK(second->routes()[1]->timeout_ == std::chrono::milliseconds(20));
 }
 
-TEST_CASE("routes that were there are not read again") {
+TEST_CASE("unchanged routes are not read again") {
   int reads = 0;
   RouteCache cache([&](std::string_view text) -> std::optional<Route> {
     ++reads;
@@ -178,14 +178,14 @@
   REQUIRE(names(R"([{"a":1},{"b":1},{"c":1}])") == R"({"a":1}{"b":1}{"c":1})");
   REQUIRE(reads == 3);
 
-  SECTION("whatever came before, between or behind them, or went") {
+  SECTION("if others are added or removed around them") {
     CHECK(names(R"([{"x":1}, {"a":1},{"y":1},{"c":1},{"z":1}])") ==
           R"({"x":1}{"a":1}{"y":1}{"c":1}{"z":1})");
     CHECK(reads == 6);
     CHECK(names(R"([{"c":1},{"a":1}])") == R"({"c":1}{"a":1})");
     CHECK(reads == 6);
   }
-  SECTION("also after an array that was refused") {
+  SECTION("after an array that was refused") {
     CHECK(names(R"([{"a":1},{}])") == "none");
     CHECK(names(R"([{"a":1})") == "none");
     CHECK(names(R"([{"a":1}}])") == "none");
@@ -196,13 +196,13 @@
     CHECK(names(R"([{"a":1},{"b":1},{"c":1}])") == R"({"a":1}{"b":1}{"c":1})");
     CHECK(reads == 0);
   }
-  SECTION("and none is an array too") {
+  SECTION("and an empty array is valid") {
     CHECK(names("[ ]").empty());
     CHECK(reads == 3);
   }
 }
 
-TEST_CASE("a document after others reads as it does by itself") {
+TEST_CASE("a document reads the same after others as alone") {
   BothReaders both;
   std::minstd_rand random(7);
   constexpr int kRoutes = 12;
@@ -214,7 +214,7 @@
   both.Check(DocumentText(1, routes));
   REQUIRE(both.refused_ == 0);
 
-  SECTION("routes added, taken out, changed, moved, doubled") {
+  SECTION("routes added, removed, changed, moved, duplicated") {
     for (int version = 2; version < 200; ++version) {
       const size_t place = random() % routes.size();
       switch (random() % 5) {
--- a/tests/unit-serving.cc
+++ b/tests/unit-serving.cc
@@ -62,21 +62,21 @@
     CHECK(config.FindRoute("i", "/a/b/c")->name_ == "other");
   }
 
-  SECTION("what no route begins has none") {
+  SECTION("a path without a matching prefix has no route") {
     CHECK(config.FindRoute("h", "/ab/") == nullptr);
     CHECK(config.FindRoute("h", "/") == nullptr);
     CHECK(config.FindRoute("h", "") == nullptr);
     CHECK(config.FindRoute("x", "/a/") == nullptr);
   }
 
-  SECTION("keys name accounts") {
+  SECTION("keys identify accounts") {
     CHECK(config.FindAccount("k2")->name_ == "acc");
     CHECK(config.FindAccount("k3") == nullptr);
     CHECK(config.FindAccount("") == nullptr);
   }
 }
 
-// A copy takes the route's place, since routes are shared.
+// Replaces the route by a copy and returns that, since routes are shared.
 Route* Change(ServingConfig::Parts* parts, size_t index) {
   auto changed = std::make_shared<Route>(*parts->routes_[index]);
   Route* const route = changed.get();
@@ -84,7 +84,7 @@
   return route;
 }
 
-TEST_CASE("faults of a serving configuration") {
+TEST_CASE("validation errors of a serving configuration") {
   ServingConfig::Parts parts = MakeParts();
   CHECK(ServingConfig::Faults(parts).empty());
 
@@ -96,7 +96,7 @@
     Change(&parts, 0)->stages_.push_back({"t", {}, 1});
     CHECK(HasFault(parts, "stage 0 names an unknown service"));
   }
-  SECTION("stage that needs a later one") {
+  SECTION("stage that depends on a later one") {
     Change(&parts, 0)->stages_.push_back({"s", {0}, 1});
     CHECK(HasFault(parts, "does not come before"));
   }
@@ -112,21 +112,21 @@
     Change(&parts, 0)->timeout_ = Duration();
     CHECK(HasFault(parts, "timeout is 0"));
   }
-  SECTION("a key held twice") {
+  SECTION("a key in two accounts") {
     ClientAccount other;
     other.name_ = "b";
     other.keys_ = {"k1"};
     parts.accounts_.push_back(other);
     CHECK(HasFault(parts, "held twice"));
   }
-  SECTION("several faults are all named") {
+  SECTION("several errors are all listed") {
     Change(&parts, 0)->timeout_ = Duration();
     Change(&parts, 1)->split_[0].weight_ = 0;
     CHECK(ServingConfig::Faults(parts).size() == 2);
   }
 }
 
-TEST_CASE("what may repeat") {
+TEST_CASE("routes whose requests may repeat") {
   Route route;
   route.kind_ = RouteKind::kUnsafe;
   CHECK_FALSE(route.MayRepeat());
@@ -142,50 +142,54 @@
 
 TEST_CASE("event splitter") {
   EventSplitter splitter(std::nullopt);
-  std::string whole;
+  std::string complete;
 
-  SECTION("events come out whole, however they were cut") {
+  SECTION("events are complete, however the stream is fragmented") {
     const std::string text = "id: 0\ndata: a\n\nid: 1\r\ndata: b\r\n\r\n";
     for (const char c : text) {
-      REQUIRE(splitter.Feed({&c, 1}, &whole) == EventSplitter::Taken::kGood);
+      REQUIRE(splitter.Feed({&c, 1}, &complete) ==
+              EventSplitter::FeedResult::kGood);
     }
-    CHECK(whole == text);
+    CHECK(complete == text);
     CHECK(splitter.events() == 2);
     CHECK(splitter.last_event() == 1U);
     CHECK_FALSE(splitter.has_partial());
   }
 
-  SECTION("a part is kept back and can be dropped") {
-    splitter.Feed("id: 0\ndata: a\n\nid: 1\nda", &whole);
-    CHECK(whole == "id: 0\ndata: a\n\n");
+  SECTION("a partly received event is kept back and can be dropped") {
+    splitter.Feed("id: 0\ndata: a\n\nid: 1\nda", &complete);
+    CHECK(complete == "id: 0\ndata: a\n\n");
     CHECK(splitter.has_partial());
     splitter.DropPartial();
-    splitter.Feed("id: 1\ndata: b\n\n", &whole);
-    CHECK(whole == "id: 0\ndata: a\n\nid: 1\ndata: b\n\n");
+    splitter.Feed("id: 1\ndata: b\n\n", &complete);
+    CHECK(complete == "id: 0\ndata: a\n\nid: 1\ndata: b\n\n");
   }
 
   SECTION("a gap and a repeat are out of order") {
-    splitter.Feed("id: 4\n\n", &whole);
-    CHECK(splitter.Feed("id: 6\n\n", &whole) ==
-          EventSplitter::Taken::kOutOfOrder);
+    splitter.Feed("id: 4\n\n", &complete);
+    CHECK(splitter.Feed("id: 6\n\n", &complete) ==
+          EventSplitter::FeedResult::kOutOfOrder);
     EventSplitter again(std::nullopt);
-    again.Feed("id: 4\n\n", &whole);
-    CHECK(again.Feed("id: 4\n\n", &whole) == EventSplitter::Taken::kOutOfOrder);
+    again.Feed("id: 4\n\n", &complete);
+    CHECK(again.Feed("id: 4\n\n", &complete) ==
+          EventSplitter::FeedResult::kOutOfOrder);
   }
 
-  SECTION("a continuation begins behind what the caller has") {
+  SECTION("a continuation begins after the caller's last event") {
     EventSplitter resumed(7);
-    whole.clear();
-    CHECK(resumed.Feed("id: 9\n\n", &whole) ==
-          EventSplitter::Taken::kOutOfOrder);
-    CHECK(whole.empty());
+    complete.clear();
+    CHECK(resumed.Feed("id: 9\n\n", &complete) ==
+          EventSplitter::FeedResult::kOutOfOrder);
+    CHECK(complete.empty());
     EventSplitter good(7);
-    CHECK(good.Feed("id: 8\n\n", &whole) == EventSplitter::Taken::kGood);
+    CHECK(good.Feed("id: 8\n\n", &complete) ==
+          EventSplitter::FeedResult::kGood);
   }
 
-  SECTION("an event without end is refused") {
+  SECTION("an event without an end is refused") {
     const std::string large(size_t{2} << 20, 'x');
-    CHECK(splitter.Feed(large, &whole) == EventSplitter::Taken::kTooLarge);
+    CHECK(splitter.Feed(large, &complete) ==
+          EventSplitter::FeedResult::kTooLarge);
   }
 }
 
@@ -196,7 +200,7 @@
   CHECK(config.version() == 5);
   CHECK(config.document() == "five\nlines");
 
-  SECTION("the highest version stays, in whatever order they come") {
+  SECTION("the highest version stays, in any order") {
     CHECK_FALSE(config.Apply(ConfigRegister::Command(4, "four")));
     CHECK_FALSE(config.Apply(ConfigRegister::Command(5, "other content")));
     CHECK(config.document() == "five\nlines");
@@ -208,7 +212,7 @@
     CHECK(first.Apply(ConfigRegister::Command(0, "zero")));
     CHECK_FALSE(first.is_empty());
   }
-  SECTION("a snapshot brings the whole state back") {
+  SECTION("a snapshot restores the full state") {
     ConfigRegister copy;
     copy.Apply(ConfigRegister::Command(77, "old"));
     copy.Restore(config.Snapshot());
@@ -217,7 +221,7 @@
     copy.Restore(ConfigRegister().Snapshot());
     CHECK(copy.is_empty());
   }
-  SECTION("a difference is applied where its base is held") {
+  SECTION("a difference is applied only to its base") {
     Error error;
     const auto command = config.DifferenceCommand(8, "eight\nlines", &error);
     REQUIRE(command);
@@ -241,7 +245,7 @@
     CHECK_FALSE(config.Apply("+8\n5"));
     CHECK(config.version() == 5);
   }
-  SECTION("what is no command changes nothing") {
+  SECTION("an invalid command changes nothing") {
     CHECK_FALSE(config.Apply("nine"));
     CHECK_FALSE(config.Apply("x9\nnine"));
     CHECK(config.version() == 5);
