--- a/include/citronlane/fleet/in_force_tracker.h
+++ b/include/citronlane/fleet/in_force_tracker.h
@@ -25,12 +25,15 @@
   /// waiting for one lease's length.
   InForceTracker(Duration lease, TimePoint start);
 
+  /// Records a registered gateway, which may hold a lease from now on.
   void OnRegistered(std::string_view gateway, uint64_t incarnation);
   /// Records the removal of a gateway. It may hold its lease for one more
   /// lease's length.
   void OnForgotten(std::string_view gateway,
                    uint64_t incarnation,
                    TimePoint now);
+  /// Records a committed version. Leases on older ones end a lease's length
+  /// after `now`.
   void OnCommitted(uint64_t version, TimePoint now);
   /// Records that the gateway has this version, or a higher one, in force.
   void OnReport(std::string_view gateway,
--- a/include/citronlane/fleet/pool_assignment.h
+++ b/include/citronlane/fleet/pool_assignment.h
@@ -67,6 +67,7 @@
   /// Rises with each change, across leaders too. It contains the leader's term,
   /// so two leaders never use the same number.
   uint64_t number() const { return number_; }
+  /// Owners as last assigned or adopted.
   const Owners& owners() const { return owners_; }
 
  private:
--- a/include/citronlane/fleet/recent_documents.h
+++ b/include/citronlane/fleet/recent_documents.h
@@ -42,6 +42,7 @@
   /// was added.
   const Update* UpdateFrom(std::optional<uint64_t> held, Error* error);
 
+  /// Total size of the documents kept, in bytes.
   size_t bytes() const { return bytes_; }
 
  private:
--- a/include/citronlane/fleet/server_states.h
+++ b/include/citronlane/fleet/server_states.h
@@ -25,6 +25,7 @@
   static ServerState Combine(const ServerState& present,
                              const ServerState& observed);
 
+  /// State by server.
   const std::map<std::string, ServerState, std::less<>>& states() const {
     return states_;
   }
--- a/include/citronlane/relay/control_watch.h
+++ b/include/citronlane/relay/control_watch.h
@@ -45,6 +45,7 @@
     /// Version of the configuration held; nothing when there is none. Sent to
     /// control again after each update that contained a configuration.
     std::function<std::optional<uint64_t>()> config_version_;
+    /// Whether this gateway has a list of gateways.
     std::function<bool()> knows_gateways_;
     /// Adds the pool owners that this gateway knows.
     std::function<void(wire::fleet::WatchRequest* request)> add_owners_;
@@ -58,6 +59,7 @@
   ControlWatch(const ControlWatch&) = delete;
   ControlWatch& operator=(const ControlWatch&) = delete;
 
+  /// Replaces the seeds: endpoints of control VMs. An empty list is ignored.
   void SetSeeds(std::vector<std::string> seeds);
   /// This gateway takes no new work any more; sends that to the leader
   /// immediately.
@@ -65,6 +67,7 @@
   /// Call every 50 ms.
   void Tick(TimePoint now);
 
+  /// Whether this gateway is connected to the leader.
   bool is_connected() const { return !leader_.empty(); }
 
  private:
--- a/include/citronlane/relay/engine_placement.h
+++ b/include/citronlane/relay/engine_placement.h
@@ -85,6 +85,7 @@
   /// Reports that no reply came in time. After several in a row the placement
   /// owner is excluded for a while.
   void ReportNoReply(uint64_t question);
+  /// Reports that the engine has read the request's prompt.
   void ReportFirstEvent(uint64_t question);
   /// Reports that the request's call to the engine ended, or that there was
   /// none. Call once for each question.
@@ -98,6 +99,7 @@
   /// counted as running.
   void Closed(const FrameChannel* channel);
 
+  /// Number of other gateways' requests on engines that this gateway assigned.
   size_t placed() const { return placed_.size(); }
 
  private:
--- a/include/citronlane/relay/fleet_view.h
+++ b/include/citronlane/relay/fleet_view.h
@@ -40,6 +40,7 @@
   void SetDrained(DrainedDomains::Names domains);
   /// The present list was read again at `read` and is unchanged.
   void ConfirmServers(TimePoint read);
+  /// Replaces the list of gateways.
   void SetGateways(std::vector<Gateway> gateways);
   /// Takes the owners of the partitions if `number` is higher than the present
   /// one's.
@@ -55,6 +56,7 @@
   /// control has named no owners at all, as it would divide it by this view's
   /// list. Never empty.
   std::vector<PoolPart> PartitionsOf(const std::string& service) const;
+  /// Whether the partition exists.
   bool HasPartition(const PoolPart& partition) const;
   /// Whether work that waits in a partition at the gateway `endpoint` belongs
   /// elsewhere: the partition no longer exists, or it is one of a failure
@@ -67,8 +69,10 @@
   /// The partition that contains the service's servers of a failure domain.
   PoolPart PartitionIn(const std::string& service,
                        const std::string& failure_domain) const;
+  /// Server with the id; null when there is none. Valid until the list changes.
   const BackendServer* FindServer(std::string_view id) const;
-  const ServerStarts& starts() const { return starts_; }
+  /// Incarnations of the listed servers, for their counts.
+  const ServerStarts& incarnations() const { return incarnations_; }
   /// Server at the address "IP:port"; null when there is none.
   const BackendServer* ServerAt(std::string_view address) const;
   /// Failure domain of the server at the address "IP:port"; empty when there is
@@ -96,7 +100,7 @@
   std::vector<BackendServer> listed_;
   DrainedDomains::Names drained_;
   std::vector<BackendServer> servers_;
-  ServerStarts starts_;
+  ServerStarts incarnations_;
   std::map<std::string, size_t, std::less<>> by_id_;
   std::map<std::string, size_t, std::less<>> by_address_;
   std::optional<TimePoint> servers_read_;
--- a/include/citronlane/relay/relay_service.h
+++ b/include/citronlane/relay/relay_service.h
@@ -42,6 +42,7 @@
   /// without one would leave its caller without a verdict.
   void GiveUpAll();
 
+  /// Number of requests being served, without those that wait for the view.
   size_t requests_in_flight() const { return in_flight_.size(); }
 
  private:
--- a/include/citronlane/relay/server_attempt.h
+++ b/include/citronlane/relay/server_attempt.h
@@ -40,6 +40,7 @@
   ServerAttempt(const ServerAttempt&) = delete;
   ServerAttempt& operator=(const ServerAttempt&) = delete;
 
+  /// Ends the call if it is in progress; nothing arrives afterwards.
   void Cancel();
 
   /// Whether bytes of the call were handed to a socket.
--- a/include/citronlane/relay/service_router.h
+++ b/include/citronlane/relay/service_router.h
@@ -24,6 +24,8 @@
  public:
   using RandomHook = PoolRouter::RandomHook;
 
+  /// `reuse_window` is passed to EngineRouter; `failure_domain` is this
+  /// gateway's.
   ServiceRouter(std::string service,
                 bool has_engines,
                 Duration reuse_window,
--- a/include/citronlane/relay/stage_owners.h
+++ b/include/citronlane/relay/stage_owners.h
@@ -88,6 +88,7 @@
   /// Call every 100 ms or more often.
   void Tick(TimePoint now);
 
+  /// Number of jobs of this gateway, announced or submitted.
   size_t open_jobs() const { return jobs_.size(); }
   /// Number of other gateways' tasks in progress.
   size_t served_jobs() const { return served_.size(); }
--- a/include/citronlane/relay/stage_pool.h
+++ b/include/citronlane/relay/stage_pool.h
@@ -55,6 +55,7 @@
   uint64_t Submit(StageTask task, Done done, InputsTaken inputs_taken);
   /// Returns whether no piece of the task was handed to a server.
   bool Cancel(uint64_t task);
+  /// Frees results that are no longer needed.
   void Free(absl::Span<const std::string> handles);
   /// This gateway no longer owns the partition: tasks of which nothing was sent
   /// end as moved.
@@ -70,6 +71,7 @@
   /// Nothing before the first server list, since no wait can be estimated then.
   std::optional<StageWait> ExpectedWait(const StageForecast& forecast,
                                         TimePoint now) const;
+  /// Number of unfinished tasks.
   size_t tasks() const { return batcher_.tasks(); }
 
  private:
--- a/src/relay/fleet_view.cc
+++ b/src/relay/fleet_view.cc
@@ -29,7 +29,7 @@
     return;
   }
   servers_read_ = read;
-  listed_ = starts_.Latest(std::move(servers), read);
+  listed_ = incarnations_.Latest(std::move(servers), read);
   UseServers();
 }
 
--- a/src/relay/gateway_host_feed.cc
+++ b/src/relay/gateway_host_feed.cc
@@ -128,9 +128,10 @@
       {{"number", view_.servers_number()},
        {"age_ms", SteadyNow() - read},
        {"unusable", static_cast<uint64_t>(unusable)},
-       {"outdated_starts", static_cast<uint64_t>(view_.starts().outdated())},
+       {"outdated_starts",
+        static_cast<uint64_t>(view_.incarnations().outdated())},
        {"clocks_set_back",
-        static_cast<uint64_t>(view_.starts().clocks_set_back())}});
+        static_cast<uint64_t>(view_.incarnations().clocks_set_back())}});
   ServersChanged();
 }
 
--- a/tests/unit-relay.cc
+++ b/tests/unit-relay.cc
@@ -279,7 +279,7 @@
     view.SetServers(Engines(2), now + seconds(2));
     CHECK(view.FindServer("e0") == nullptr);
     CHECK(view.FindServer("e0@7") != nullptr);
-    CHECK(view.starts().outdated() == 1);
+    CHECK(view.incarnations().outdated() == 1);
   }
 
   SECTION("shares never grow when gateways are not listed") {
