--- a/tests/unit-engine-placement.cc
+++ b/tests/unit-engine-placement.cc
@@ -202,9 +202,9 @@
   const std::string endpoint_b = FreeEndpoint(&io);
   Gateway owner_a(&io, endpoint_a, endpoint_a);
   auto owner_b = std::make_unique<Gateway>(&io, endpoint_b, endpoint_b);
-  Gateway asker(&io, FreeEndpoint(&io), endpoint_a);
-  const PoolPart part_a(kService, "a");
-  const PoolPart part_b(kService, "b");
+  Gateway requester(&io, FreeEndpoint(&io), endpoint_a);
+  const PoolPart partition_a(kService, "a");
+  const PoolPart partition_b(kService, "b");
   std::vector<BackendServer> servers;
   for (const char* name : {"a0", "a1", "b0", "b1"}) {
     BackendServer server;
@@ -213,9 +213,10 @@
     server.failure_domain_ = std::string(1, *name);
     servers.push_back(server);
   }
-  for (Gateway* gateway : {&owner_a, owner_b.get(), &asker}) {
+  for (Gateway* gateway : {&owner_a, owner_b.get(), &requester}) {
     gateway->view_.SetServers(servers, SteadyNow() + seconds(1));
-    gateway->view_.SetOwners(2, {{part_a, endpoint_a}, {part_b, endpoint_b}});
+    gateway->view_.SetOwners(
+        2, {{partition_a, endpoint_a}, {partition_b, endpoint_b}});
   }
   const auto until = [&io](const std::function<bool()>& condition) {
     return Eventually([&] {
@@ -223,39 +224,40 @@
       return condition();
     });
   };
-  const auto place_in = [&](const PoolPart& part) {
+  const auto place_in = [&](const PoolPart& partition) {
     std::string server;
-    asker.placement_.RequestEngine(
-        Purpose::kStart, part, EngineRouter::Call(), {},
+    requester.placement_.RequestEngine(
+        Purpose::kStart, partition, EngineRouter::Call(), {},
         [&server](const std::string& named) { server = named; });
     REQUIRE(until([&] { return !server.empty(); }));
     return server;
   };
 
   SECTION("are assigned by the placement owner of their domain") {
-    CHECK(asker.placement_.PartitionIn(kService, "a") == part_a);
-    CHECK(asker.placement_.PartitionIn(kService, "b") == part_b);
-    CHECK(owner_a.placement_.IsPlacementOwner(part_a));
-    CHECK_FALSE(owner_a.placement_.IsPlacementOwner(part_b));
+    CHECK(requester.placement_.PartitionIn(kService, "a") == partition_a);
+    CHECK(requester.placement_.PartitionIn(kService, "b") == partition_b);
+    CHECK(owner_a.placement_.IsPlacementOwner(partition_a));
+    CHECK_FALSE(owner_a.placement_.IsPlacementOwner(partition_b));
   }
   SECTION("which assigns only these, however busy they are") {
     for (int i = 0; i < 6; ++i) {
-      CHECK(place_in(part_a).front() == 'a');
+      CHECK(place_in(partition_a).front() == 'a');
     }
-    CHECK(place_in(part_b).front() == 'b');
+    CHECK(place_in(partition_b).front() == 'b');
     CHECK(owner_a.placement_.placed() == 6);
     CHECK(owner_b->placement_.placed() == 1);
   }
   SECTION("have no placement owner while theirs is unreachable") {
     owner_b.reset();
-    asker.placement_.RequestEngine(Purpose::kStart, part_b,
-                                   EngineRouter::Call(), {},
-                                   [](const std::string&) {});
-    CHECK(until([&] { return !asker.placement_.PartitionIn(kService, "b"); }));
-    CHECK(asker.placement_.PartitionIn(kService, "a") == part_a);
+    requester.placement_.RequestEngine(Purpose::kStart, partition_b,
+                                       EngineRouter::Call(), {},
+                                       [](const std::string&) {});
+    CHECK(until(
+        [&] { return !requester.placement_.PartitionIn(kService, "b"); }));
+    CHECK(requester.placement_.PartitionIn(kService, "a") == partition_a);
   }
   SECTION("have no placement owner in a domain without a partition") {
-    CHECK_FALSE(asker.placement_.PartitionIn(kService, "c"));
+    CHECK_FALSE(requester.placement_.PartitionIn(kService, "c"));
   }
 }
 
--- a/tests/unit-pool-parts.cc
+++ b/tests/unit-pool-parts.cc
@@ -50,10 +50,10 @@
   return DividePools(services, ServersIn(kStage, counts), held);
 }
 
-Owners OwnersOf(const std::vector<PoolPart>& parts) {
+Owners OwnersOf(const std::vector<PoolPart>& partitions) {
   Owners owners;
-  for (const PoolPart& part : parts) {
-    owners[part] = "g" + std::to_string(owners.size());
+  for (const PoolPart& partition : partitions) {
+    owners[partition] = "g" + std::to_string(owners.size());
   }
   return owners;
 }
@@ -124,15 +124,15 @@
       }
       const auto servers = ServersIn(kStage, counts);
       const std::vector<PooledService> services{{kStage, false}};
-      const auto parts = DividePools(services, servers, held);
-      RC_ASSERT(!parts.empty());
-      held = OwnersOf(parts);
+      const auto partitions = DividePools(services, servers, held);
+      RC_ASSERT(!partitions.empty());
+      held = OwnersOf(partitions);
       FleetView view;
       view.SetServers(servers, TimePoint(seconds(1)));
       view.SetOwners(1, held);
       std::multiset<std::string> owned;
-      for (const PoolPart& part : parts) {
-        for (const BackendServer* server : view.ServersIn(part)) {
+      for (const PoolPart& partition : partitions) {
+        for (const BackendServer* server : view.ServersIn(partition)) {
           owned.insert(server->id_);
         }
       }
@@ -155,9 +155,9 @@
     assignment.StartLeading(now, 1);
     auto gateways = Gateways(40);
     const auto all = gateways;
-    const auto parts = DividePools(services, servers, {});
+    const auto partitions = DividePools(services, servers, {});
     now += seconds(3);
-    assignment.Update(parts, gateways, now);
+    assignment.Update(partitions, gateways, now);
     uint64_t number = assignment.number();
     Owners owners = assignment.owners();
     for (int step = 0; step < 30; ++step) {
@@ -176,19 +176,19 @@
       } else if (what == 1) {
         known->stopping_ = !known->stopping_;
       }
-      assignment.Update(parts, gateways, now);
+      assignment.Update(partitions, gateways, now);
       // A number is never used again for different owners.
       if (assignment.owners() != owners) {
         RC_ASSERT(assignment.number() > number);
       }
       std::set<std::string> distinct;
       size_t moved = 0;
-      for (const auto& [part, owner] : assignment.owners()) {
+      for (const auto& [partition, owner] : assignment.owners()) {
         distinct.insert(owner);
-        moved += owners.at(part) != owner ? 1 : 0;
+        moved += owners.at(partition) != owner ? 1 : 0;
       }
-      RC_ASSERT(assignment.owners().size() == parts.size());
-      RC_ASSERT(distinct.size() == parts.size());
+      RC_ASSERT(assignment.owners().size() == partitions.size());
+      RC_ASSERT(distinct.size() == partitions.size());
       // One gateway changed in this step, and another may be missing since an
       // earlier one; each owns one partition.
       RC_ASSERT(moved <= 2);
@@ -201,17 +201,17 @@
     PoolAssignment assignment;
     TimePoint now{seconds(100)};
     assignment.StartLeading(now, 1);
-    const std::vector<PoolPart> parts{
+    const std::vector<PoolPart> partitions{
         {kStage, "a"}, {kStage, "c"}, {kEngines, "c"}};
     const auto gateways = Gateways(40);
-    REQUIRE(assignment.Update(parts, gateways, now + seconds(3)));
-    for (const auto& [part, owner] : assignment.owners()) {
+    REQUIRE(assignment.Update(partitions, gateways, now + seconds(3)));
+    for (const auto& [partition, owner] : assignment.owners()) {
       const auto found = std::find_if(gateways.begin(), gateways.end(),
                                       [&owner = owner](const Gateway& gateway) {
                                         return gateway.endpoint_ == owner;
                                       });
       REQUIRE(found != gateways.end());
-      CHECK(found->failure_domain_ == part.failure_domain_);
+      CHECK(found->failure_domain_ == partition.failure_domain_);
     }
   }
 }
@@ -297,8 +297,8 @@
   const uint64_t before = view.partitions_number();
   view.SetServers(servers, TimePoint(seconds(1)));
   CHECK(view.partitions_number() > before);
-  const auto parts = view.PartitionsOf(kStage);
-  CHECK(parts.size() == 5);
+  const auto partitions = view.PartitionsOf(kStage);
+  CHECK(partitions.size() == 5);
   CHECK(view.PartitionIn(kStage, "a") == PoolPart(kStage, "a"));
   CHECK(view.ServersIn({kStage, "a"}).size() == 9);
 
@@ -306,16 +306,18 @@
     PoolAssignment assignment;
     const TimePoint now{seconds(100)};
     assignment.StartLeading(now, 1);
-    REQUIRE(assignment.Update(parts, gateways, now + milliseconds(200)));
+    REQUIRE(assignment.Update(partitions, gateways, now + milliseconds(200)));
     const OwnerTable one(&view, "g3");
     const OwnerTable other(&view, "g4");
     size_t same = 0;
-    for (const PoolPart& part : parts) {
-      CHECK(one.OwnerOf(part, now) == other.OwnerOf(part, now));
-      same += one.OwnerOf(part, now) == assignment.owners().at(part) ? 1 : 0;
+    for (const PoolPart& partition : partitions) {
+      CHECK(one.OwnerOf(partition, now) == other.OwnerOf(partition, now));
+      same += one.OwnerOf(partition, now) == assignment.owners().at(partition)
+                  ? 1
+                  : 0;
     }
     // The leader separates two partitions whose successor is the same gateway.
-    CHECK(same >= parts.size() - 1);
+    CHECK(same >= partitions.size() - 1);
   }
   SECTION("and uses the owners that control names from then on") {
     view.SetOwners(1, {{kStage, "g7"}});
@@ -326,23 +328,23 @@
 
 TEST_CASE("work that waits in a partition belongs elsewhere") {
   FleetView view;
-  const PoolPart part_a(kStage, "a");
+  const PoolPart partition_a(kStage, "a");
 
   SECTION("not while no owner is named") {
     CHECK_FALSE(view.BelongsElsewhere(kStage, "g9"));
   }
   SECTION("if the pool was divided") {
-    view.SetOwners(1, {{part_a, "g9"}});
+    view.SetOwners(1, {{partition_a, "g9"}});
     CHECK(view.BelongsElsewhere(kStage, "g9"));
-    CHECK_FALSE(view.BelongsElsewhere(part_a, "g9"));
+    CHECK_FALSE(view.BelongsElsewhere(partition_a, "g9"));
   }
   SECTION("if the pool was merged") {
     view.SetOwners(1, {{kStage, "g9"}});
-    CHECK(view.BelongsElsewhere(part_a, "g9"));
+    CHECK(view.BelongsElsewhere(partition_a, "g9"));
   }
   SECTION("if the partition has another owner") {
-    view.SetOwners(1, {{part_a, "g1"}});
-    CHECK(view.BelongsElsewhere(part_a, "g9"));
+    view.SetOwners(1, {{partition_a, "g1"}});
+    CHECK(view.BelongsElsewhere(partition_a, "g9"));
   }
   SECTION("not at the successor of an undivided pool's owner") {
     view.SetOwners(1, {{kStage, "g1"}});
--- a/tests/unit-stage-domains.cc
+++ b/tests/unit-stage-domains.cc
@@ -90,11 +90,11 @@
   }
 
  private:
-  StagePool* PoolOf(const PoolPart& part) {
-    auto& pool = pools_[part];
+  StagePool* PoolOf(const PoolPart& partition) {
+    auto& pool = pools_[partition];
     if (!pool) {
       pool = std::make_unique<StagePool>(
-          part, PressSpec(), RepeatBudget::Options{0.2, 10, seconds(10)},
+          partition, PressSpec(), RepeatBudget::Options{0.2, 10, seconds(10)},
           &view_, &dialect_, &client_, &log_);
       pool->Begin(SteadyNow());
     }
@@ -112,8 +112,9 @@
   std::shared_ptr<const ServingConfig> config_;
   RelayJob job_;
   std::map<PoolPart, std::unique_ptr<StagePool>> pools_;
-  StageOwners owners_{&io_, kOwn, &view_, &log_,
-                      [this](const PoolPart& part) { return PoolOf(part); }};
+  StageOwners owners_{
+      &io_, kOwn, &view_, &log_,
+      [this](const PoolPart& partition) { return PoolOf(partition); }};
   std::unique_ptr<StageRunner> runner_;
 };
 
--- a/tests/unit-stage-owners.cc
+++ b/tests/unit-stage-owners.cc
@@ -221,8 +221,9 @@
                 endpoint,
                 &view_,
                 &log_,
-                [this](const PoolPart& part) {
-                  return part == kService && runs_pools_ ? &pool_ : nullptr;
+                [this](const PoolPart& partition) {
+                  return partition == kService && runs_pools_ ? &pool_
+                                                              : nullptr;
                 }),
         listener_(
             &net->io_,
@@ -1209,9 +1210,10 @@
   maker.address_ = "10.0.0.1:1";
   maker.failure_domain_ = "a";
   view.SetServers({maker}, SteadyNow());
-  const PoolPart part_a(kService, "a");
-  const PoolPart part_b(kService, "b");
-  view.SetOwners(2, {{part_a, owner_endpoint}, {part_b, other_endpoint}});
+  const PoolPart partition_a(kService, "a");
+  const PoolPart partition_b(kService, "b");
+  view.SetOwners(
+      2, {{partition_a, owner_endpoint}, {partition_b, other_endpoint}});
   Gateway gateway(&net, FreeEndpoint(&net.io_), view);
   const auto ask_in_a = [&](const std::string& request) {
     auto tracked = std::make_shared<TrackedTask>();
@@ -1245,7 +1247,7 @@
     gateway.owners_.Tick(SteadyNow());
     CHECK(other.freed_.empty());
     gateway.view_.SetOwners(
-        3, {{part_a, idle_endpoint}, {part_b, other_endpoint}});
+        3, {{partition_a, idle_endpoint}, {partition_b, other_endpoint}});
     gateway.owners_.Tick(SteadyNow());
     REQUIRE(net.Until([&] { return !idle.freed_.empty(); }));
     CHECK(idle.freed_ == Handles{"10.0.0.1:1/made"});
