--- a/tests/unit-relay.cc
+++ b/tests/unit-relay.cc
@@ -124,9 +124,9 @@
   SECTION("requests of a session go to one engine from any gateway") {
     EngineRouter other(seconds(10));
     other.Update(Pointers(servers));
-    const auto home = router.Choose(now, call, {});
-    REQUIRE(home);
-    CHECK(other.Choose(now, call, {}) == home);
+    const auto preferred = router.Choose(now, call, {});
+    REQUIRE(preferred);
+    CHECK(other.Choose(now, call, {}) == preferred);
     std::set<std::string> homes;
     for (int i = 0; i < 200; ++i) {
       const std::vector<PromptPart> session = {
@@ -139,25 +139,25 @@
   }
 
   SECTION("a preferred engine with much to read gets no more") {
-    const auto home = *router.Choose(now, call, {});
+    const auto preferred = *router.Choose(now, call, {});
     double tokens = 0;
     for (int i = 0; i < 3; ++i) {
-      tokens = router.OnStart(home, now, call);
+      tokens = router.OnStart(preferred, now, call);
     }
-    CHECK(*router.Choose(now, call, {}) != home);
+    CHECK(*router.Choose(now, call, {}) != preferred);
     for (int i = 0; i < 3; ++i) {
-      router.OnFirstEvent(home, tokens);
-      router.OnFinish(home, now, CallOutcome::kSuccess, 0);
+      router.OnFirstEvent(preferred, tokens);
+      router.OnFinish(preferred, now, CallOutcome::kSuccess, 0);
     }
-    CHECK(*router.Choose(now, call, {}) == home);
+    CHECK(*router.Choose(now, call, {}) == preferred);
   }
 
   SECTION("an engine that failed is excluded for a while") {
-    const auto home = *router.Choose(now, call, {});
-    router.OnStart(home, now, call);
-    router.OnFinish(home, now, CallOutcome::kConnectFailed, 0);
-    CHECK(*router.Choose(now, call, {}) != home);
-    CHECK(*router.Choose(now + seconds(1), call, {}) == home);
+    const auto preferred = *router.Choose(now, call, {});
+    router.OnStart(preferred, now, call);
+    router.OnFinish(preferred, now, CallOutcome::kConnectFailed, 0);
+    CHECK(*router.Choose(now, call, {}) != preferred);
+    CHECK(*router.Choose(now + seconds(1), call, {}) == preferred);
   }
 
   SECTION("one engine is tried even if all have failed") {
@@ -170,12 +170,12 @@
 
   SECTION("leaving and excluded engines are not chosen") {
     auto changed = servers;
-    const auto home = *router.Choose(now, call, {});
+    const auto preferred = *router.Choose(now, call, {});
     for (BackendServer& server : changed) {
-      server.leaving_ = server.id_ == home;
+      server.leaving_ = server.id_ == preferred;
     }
     router.Update(Pointers(changed));
-    CHECK(*router.Choose(now, call, {}) != home);
+    CHECK(*router.Choose(now, call, {}) != preferred);
     std::vector<std::string> excluded;
     excluded.reserve(servers.size());
     for (const BackendServer& server : servers) {
@@ -186,7 +186,7 @@
 }
 
 TEST_CASE("rendezvous hashing") {
-  const auto home = [](int key, int nodes) {
+  const auto preferred = [](int key, int nodes) {
     int best = 0;
     uint64_t highest = 0;
     for (int node = 0; node < nodes; ++node) {
@@ -202,9 +202,9 @@
   int moved = 0;
   std::map<int, int> counts;
   for (int key = 0; key < 1000; ++key) {
-    ++counts[home(key, 10)];
-    if (home(key, 11) != home(key, 10)) {
-      CHECK(home(key, 11) == 10);
+    ++counts[preferred(key, 10)];
+    if (preferred(key, 11) != preferred(key, 10)) {
+      CHECK(preferred(key, 11) == 10);
       ++moved;
     }
   }
@@ -331,18 +331,18 @@
     CHECK(*router.Choose(now + seconds(12), call, {}) != keeper);
   }
   SECTION("a long prompt goes where it delays few others") {
-    const std::vector<PromptPart> parts = {{"cold", 0}, {"own", 40000}};
+    const std::vector<PromptPart> segments = {{"cold", 0}, {"own", 40000}};
     EngineRouter::Call large;
-    large.prompt_ = parts;
+    large.prompt_ = segments;
     large.sees_all_ = true;
-    const std::string home = *router.Choose(now, large, {});
+    const std::string preferred = *router.Choose(now, large, {});
     EngineRouter::Call small;
     for (const BackendServer& server : servers) {
-      for (int i = 0; i < (server.id_ == home ? 3 : 1); ++i) {
+      for (int i = 0; i < (server.id_ == preferred ? 3 : 1); ++i) {
         router.OnStart(server.id_, now, small);
       }
     }
-    CHECK(*router.Choose(now, large, {}) != home);
+    CHECK(*router.Choose(now, large, {}) != preferred);
   }
 }
 
@@ -355,12 +355,12 @@
   const std::vector<PromptPart> prompt = {{"hot", 4000}, {"own", 10}};
   EngineRouter::Call call;
   call.prompt_ = prompt;
-  const std::string home = *router.Choose(now, call, {});
-  router.OnStart(home, now, call);
-  router.OnFinish(home, now, CallOutcome::kTimeout, 0);
-  CHECK(*router.Choose(now, call, {}) != home);
+  const std::string preferred = *router.Choose(now, call, {});
+  router.OnStart(preferred, now, call);
+  router.OnFinish(preferred, now, CallOutcome::kTimeout, 0);
+  CHECK(*router.Choose(now, call, {}) != preferred);
   for (BackendServer& server : servers) {
-    if (server.id_ == home) {
+    if (server.id_ == preferred) {
       server.id_ += "@7";
       server.started_ms_ = 7;
     }
@@ -374,8 +374,8 @@
       others.push_back(server.id_);
     }
   }
-  CHECK(*router.Choose(now, call, others) == home + "@7");
-  router.OnFinish(home, now, CallOutcome::kTimeout, 0);
+  CHECK(*router.Choose(now, call, others) == preferred + "@7");
+  router.OnFinish(preferred, now, CallOutcome::kTimeout, 0);
   CHECK(router.servers() == 3);
 }
 
