--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -124,13 +124,13 @@
         "unit-stages: replies to a pool's calls"]),
     ("MIXED: stage results reach the request that asked, through any owner", [
         "unit-stage-owners: results of a stage task reach the request that "
-        "asked",
+        "submitted it",
         "unit-stage-owners: one owner serves the tasks of many gateways",
-        "unit-stage-owners: a stage task whose owner goes"]),
+        "unit-stage-owners: a stage task whose owner is lost"]),
     ("one gateway owns a stage pool, by the highest number", [
         "unit-stage-owners: the owner of a stage pool",
         "unit-stage-owners: announcements of stage tasks",
-        "unit-stage-owners: results that an owner is told to free"]),
+        "unit-stage-owners: results that an owner is requested to free"]),
     ("UNASKED: nothing runs that no caller asked for, unchanged", [
         PLATFORM + "RequestTest.test_headers",
         PLATFORM + "SmugglingTest.test_both_framings",
@@ -143,12 +143,12 @@
         PLATFORM + "StartAgainTest.test_unsafe_request_in_hand_runs_once",
         PLATFORM + "StartAgainTest.test_unsafe_request_of_a_start_that_fell_"
         "silent_runs_once",
-        "unit-serving: what may repeat"]),
+        "unit-serving: routes whose requests may repeat"]),
     ("REFUSED: a promise that nothing ran is true", [
         PLATFORM + "RequestTest.test_refused_everywhere_is_told_so",
         PLATFORM + "StartAgainTest.test_lost_stage_calls_may_have_run",
         "unit-relay: a refusal promises only what is true",
-        "unit-stage-owners: of what a lost owner had nobody says that it has "
+        "unit-stage-owners: tasks that a lost owner had are never reported as "
         "not run",
         "unit-stages: stage failures"]),
     ("ROUTE, DENIED: routes and keys as configured", [
@@ -169,9 +169,9 @@
         "or_may_have_run",
         PLATFORM + "StartAgainTest.test_kept_connections_end_with_their_"
         "start",
-        "unit-server-starts: starts of backend servers",
+        "unit-server-starts: incarnations of backend servers",
         "unit-platform: platform servers that start again",
-        "unit-relay: an engine that starts again has no past",
+        "unit-relay: a restarted engine has no history",
         "unit-stages: stage failures"]),
     ("an entry of another writer names no server; the others hold", [
         "unit-platform: platform server entries of another writer"]),
@@ -190,8 +190,8 @@
         "a_stopped_gateway_has_not_read",
         "unit-gateway-feed: changes come faster than a gateway's link carries "
         "whole documents",
-        "unit-config-reader: a document after others reads as it does by "
-        "itself",
+        "unit-config-reader: a document reads the same after others as "
+        "alone",
         "unit-serving: config register", "unit-relay: fleet view"]),
     ("RECOVER: what was acknowledged survives", [
         PLATFORM + "ControlLossTest.test_all_killed_at_once",
