--- a/include/citronlane/gateway/admission_estimate.h
+++ b/include/citronlane/gateway/admission_estimate.h
@@ -9,8 +9,10 @@
 class PoolShards;
 struct CallerRequest;
 
-/// Returns what admission is asked for the request: times and cost expected
-/// from the pools of its stages as they are now. Thread safe.
+/// Builds the admission query of `request`: its class limits, and the latency
+/// and cost expected from the current state of the pools that its stages use.
+/// Expected times are empty if they are unknown for any stage. Pools that are
+/// missing from `pools` are skipped. Thread safe.
 AdmissionQuery EstimateForAdmission(const CallerRequest& request,
                                     const PoolShards& pools,
                                     TimePoint now);
--- a/include/citronlane/gateway/answer_writer.h
+++ b/include/citronlane/gateway/answer_writer.h
@@ -16,28 +16,31 @@
 
 namespace citronlane {
 
-/// Writes the answers of pipelines in the shape of the route that was called:
-/// whole, or as server-sent events. Stateless; thread safe.
-class AnswerWriter {
+/// Formats pipeline results for the route that was called, either as one
+/// complete JSON body or as server-sent events. Immutable; thread safe.
+class ResponseWriter {
  public:
-  AnswerWriter(CallerRequest::Kind kind,
-               std::string request_id,
-               std::string pipeline,
-               uint64_t config_version);
+  ResponseWriter(CallerRequest::Kind kind,
+                 std::string request_id,
+                 std::string pipeline,
+                 uint64_t config_version);
 
-  /// Headers of every answer.
+  /// Returns the headers common to all responses.
   std::vector<HttpHeader> Headers() const;
-  /// The header that shows cost and calls of each stage.
+  /// Returns the X-Cost-By-Stage header: cost and number of calls per stage.
   static HttpHeader CostHeader(absl::Span<const StageCost> costs);
 
-  std::string Whole(const StageOutput& output,
-                    absl::Span<const StageCost> costs) const;
-  /// One event with the next text.
+  /// Returns the body of a response that is not streamed.
+  std::string CompleteResponse(const StageOutput& output,
+                               absl::Span<const StageCost> costs) const;
+  /// Returns one event that carries the next part of the text.
   std::string TextEvent(const EmitText& text) const;
-  /// The events that end a whole answer.
-  std::string LastEvents(const StageOutput& output,
-                         absl::Span<const StageCost> costs) const;
-  /// The event that says that the answer can't be completed.
+  /// Returns the events that end a successful stream: finish reason and cost
+  /// report, then `[DONE]`.
+  std::string FinalEvents(const StageOutput& output,
+                          absl::Span<const StageCost> costs) const;
+  /// Returns the event that ends a failed stream. `problem` is the JSON body of
+  /// the refusal.
   static std::string ErrorEvent(std::string_view problem);
 
  private:
--- a/include/citronlane/gateway/caller_handler.h
+++ b/include/citronlane/gateway/caller_handler.h
@@ -26,8 +26,9 @@
 struct HttpRequest;
 struct Refusal;
 
-/// Takes one caller's request from its claim and admission to its one answer.
-/// Runs in the connection's coroutine. Not thread safe; used once.
+/// Serves one parsed request: claims its Idempotency-Key if it has one, asks
+/// admission, runs the pipeline and sends exactly one response. Runs in the
+/// coroutine of the caller's connection. Not thread safe; use once.
 class CallerHandler {
  public:
   /// All references must outlive the handler.
@@ -39,7 +40,7 @@
                 HttpExchange* exchange);
   ~CallerHandler();
 
-  /// Returns when the caller has its answer, or is gone.
+  /// Returns when the response was sent or the caller disconnected.
   void Run();
 
  private:
@@ -48,14 +49,14 @@
   void Drive();
   DriverJob MakeJob();
   RequestPlan MakePlan() const;
-  void AnswerClaimed(ClaimAnswer answer);
-  void AnswerWhole();
-  void AnswerWholeStream();
-  HttpReply WholeReply() const;
+  void RespondToClaim(ClaimAnswer answer);
+  void SendCompleteResponse();
+  void SendFinalEvents();
+  HttpReply MakeCompleteResponse() const;
   void StoreAnswer(int status, std::string content_type, std::string body);
-  void AnswerFailed();
+  void SendFailure();
   void Refuse(RefusalReason reason, Verdict verdict, std::string_view detail);
-  HttpReply WriteFailure();
+  HttpReply MakeFailure();
   void FlushText();
   bool SendStream(std::string_view bytes);
   RequestSummary Summarize() const;
@@ -68,13 +69,13 @@
   RefusalContext refusal_context_;
   HttpExchange* const exchange_;
   const TimePoint start_;
-  const AnswerWriter writer_;
+  const ResponseWriter writer_;
   AdmissionQuery query_;
   std::unique_ptr<RequestClaim> claim_;
   std::shared_ptr<RequestDriver> driver_;
   std::optional<FinishRequest> finish_;
   std::string pending_text_;
-  /// All bytes of a streamed answer, kept when it is to be stored.
+  /// All bytes sent of a streamed response, kept if it has to be stored.
   std::string sent_text_;
   bool stream_started_ = false;
 };
--- a/include/citronlane/gateway/caller_request.h
+++ b/include/citronlane/gateway/caller_request.h
@@ -15,25 +15,25 @@
 struct ClassConfig;
 struct ClusterConfig;
 
-/// What a caller asks for, read and checked against one configuration.
+/// A caller's request, parsed and validated against one configuration.
 struct CallerRequest {
   enum class Kind { kPipeline, kChat, kService };
 
   Kind kind_ = Kind::kPipeline;
-  /// Keeps what the pointers below point to.
+  /// Owns what the pointers below refer to.
   std::shared_ptr<const ClusterConfig> config_;
   const AccountConfig* account_ = nullptr;
   const ClassConfig* class_ = nullptr;
-  /// Pipeline or service.
+  /// Name of the pipeline or service.
   std::string target_;
   std::vector<StageConfig> stages_;
   Duration deadline_{};
   PipelineInput input_;
-  /// kService: path and query at the service.
+  /// Path and query to request from the service. kService only.
   std::string service_target_;
   bool stream_ = false;
-  /// Runs at most once; its stages marked so, or all when none is, are never
-  /// repeated.
+  /// The request runs at most once: the stages that are marked non-idempotent
+  /// are never repeated, or no stage is if none is marked.
   bool non_idempotent_ = false;
   std::string idempotency_key_;
 };
--- a/include/citronlane/gateway/caller_request_reader.h
+++ b/include/citronlane/gateway/caller_request_reader.h
@@ -15,20 +15,23 @@
 struct HttpRequest;
 struct ServiceConfig;
 
-/// Reads one caller's request: route, client account, class, body. Keeps the
-/// last reason when it can't. Not thread safe; one for each request.
+/// Parses and validates one caller's request: headers, client account, route,
+/// body, class and idempotency key. Not thread safe; use one per request.
 class CallerRequestReader {
  public:
   /// Both must outlive the reader.
   CallerRequestReader(const HttpRequest& request, const ConfigView& view);
 
-  /// Returns the request, or nothing; then reason() and detail() say why.
+  /// Returns the request, or nothing if it is invalid; reason() and detail()
+  /// are then set. Call once.
   std::optional<CallerRequest> Read();
 
+  /// Why Read failed. Precondition: Read returned nothing.
   RefusalReason reason() const { return reason_; }
-  /// What exactly is wrong; holds nothing of the caller's text.
+  /// Which part of the request is invalid; may be empty. Contains no text of
+  /// the request, so that it can be logged.
   const std::string& detail() const { return detail_; }
-  /// As far as they were read; empty before.
+  /// Names found before Read returned; empty if it failed earlier.
   const std::string& account() const { return account_; }
   const std::string& class_name() const { return class_name_; }
   const std::string& target() const { return target_; }
@@ -45,8 +48,8 @@
   bool ReadPipelineBody();
   bool ReadMessages(const JsonValue& messages);
   bool ReadOptions(const JsonValue& body);
-  bool TakePipeline(const std::string& name);
-  void TakeServiceRoute(const ServiceConfig& service, std::string_view path);
+  bool SelectPipeline(const std::string& name);
+  void SelectServiceRoute(const ServiceConfig& service, std::string_view path);
   bool ReadIdempotency();
 
   const HttpRequest& http_;
--- a/include/citronlane/gateway/caller_service.h
+++ b/include/citronlane/gateway/caller_service.h
@@ -16,16 +16,19 @@
 class HttpExchange;
 struct HttpRequest;
 
-/// Serves what callers ask of a gateway: work, and its health. Thread safe.
+/// Routes the requests of callers: the health and metrics paths are answered
+/// directly, all others go to a CallerHandler. Thread safe.
 class CallerService {
  public:
   explicit CallerService(CallerServiceParts parts);
 
-  /// Serves one request on the thread of that shard; returns when it is
-  /// answered.
+  /// Serves one request; returns when it was answered. Must be called on the
+  /// thread of `shard`, in the connection's coroutine. Precondition: `shard` is
+  /// an index of CallerServiceParts::contexts_.
   void Serve(size_t shard, const HttpRequest& request, HttpExchange* exchange);
 
-  /// Reply to a request that could not be read.
+  /// Records the refusal of a request that could not be parsed and returns the
+  /// response to it.
   HttpReply RefuseUnread(RefusalReason reason);
 
  private:
--- a/include/citronlane/gateway/claim_query.h
+++ b/include/citronlane/gateway/claim_query.h
@@ -5,12 +5,12 @@
 
 namespace citronlane {
 
-/// Names one non-idempotent request over the whole fleet.
+/// Identifies one request with an Idempotency-Key across all gateways.
 struct ClaimQuery {
   std::string account_;
   /// The caller's Idempotency-Key.
   std::string key_;
-  /// SHA-256 of method, path and body, 32 bytes.
+  /// SHA-256 of method, path with query, and body; 32 bytes.
   std::string body_digest_;
 };
 
--- a/include/citronlane/gateway/config_view.h
+++ b/include/citronlane/gateway/config_view.h
@@ -11,8 +11,8 @@
 struct AccountConfig;
 struct ClusterConfig;
 
-/// One version of the configuration with what a gateway looks up in it.
-/// Immutable; thread safe.
+/// One version of the configuration with an index of the client accounts by key
+/// digest. Immutable; thread safe.
 class ConfigView {
  public:
   /// Precondition: `config` is not null.
@@ -20,7 +20,8 @@
 
   const std::shared_ptr<const ClusterConfig>& config() const { return config_; }
 
-  /// Returns the client account that a bearer key belongs to, or null.
+  /// Returns the client account that a bearer key belongs to, or null. The
+  /// account lives as long as config().
   const AccountConfig* FindAccount(std::string_view key) const;
 
  private:
--- a/include/citronlane/gateway/detail/call_flight.h
+++ b/include/citronlane/gateway/detail/call_flight.h
@@ -19,9 +19,9 @@
 
 namespace citronlane::detail {
 
-/// One stage call that a driver has in flight.
-struct CallFlight {
-  explicit CallFlight(boost::asio::io_context* io) : hedge_timer_(*io) {}
+/// One stage call of a RequestDriver that is in flight.
+struct InFlightCall {
+  explicit InFlightCall(boost::asio::io_context* io) : hedge_timer_(*io) {}
 
   AttemptId id_;
   bool hedge_ = false;
@@ -34,8 +34,8 @@
   bool first_byte_ = false;
   uint32_t tokens_ = 0;
   StageReplyHead head_;
-  std::shared_ptr<StageCall> call_;
-  /// Set for calls that stream.
+  std::shared_ptr<StageCall> stage_call_;
+  /// Set for streamed calls only.
   std::unique_ptr<StageTokenReader> reader_;
   boost::asio::steady_timer hedge_timer_;
   bool ended_ = false;
--- a/include/citronlane/gateway/driver_context.h
+++ b/include/citronlane/gateway/driver_context.h
@@ -19,23 +19,26 @@
 class PoolShards;
 class StageClient;
 
-/// What the drivers of one thread share. Everything must be set and outlives
-/// the drivers.
+/// Dependencies shared by the RequestDrivers of one thread. Every member must
+/// be set, and every pointer must outlive the drivers.
 struct DriverContext {
   boost::asio::io_context* io_ = nullptr;
   StageClient* client_ = nullptr;
   PoolShards* pools_ = nullptr;
-  /// A call of the pool ended with `in_flight` others beside it.
+  /// A stage call ended; `in_flight` other calls to the pool are in flight.
   std::function<void(std::string_view pool,
                      CallOutcome outcome,
                      Duration latency,
                      uint32_t tokens,
                      size_t in_flight)>
       on_call_;
+  /// A stage call is about to be repeated.
   std::function<void(std::string_view pool, RetryReason reason)> on_retry_;
+  /// A hedge ended; `won` if its result was used.
   std::function<void(std::string_view pool, bool won)> on_hedge_;
+  /// A result was discarded; see GatewayEvents::on_drop_ for `why`.
   std::function<void(std::string_view pool, std::string_view why)> on_drop_;
-  /// A backend server said that it is leaving.
+  /// A backend server announced in a reply that it is draining.
   std::function<void(std::string_view server)> on_leaving_;
 };
 
--- a/include/citronlane/gateway/driver_job.h
+++ b/include/citronlane/gateway/driver_job.h
@@ -17,22 +17,23 @@
 
 struct ClusterConfig;
 
-/// One admitted request, ready to be driven.
+/// An admitted request and the callbacks of its RequestDriver.
 struct DriverJob {
-  /// The version the request began with.
+  /// Configuration that applied when the request arrived.
   std::shared_ptr<const ClusterConfig> config_;
   RequestPlan plan_;
-  /// One for each stage of the plan.
+  /// One entry per stage of the plan.
   std::vector<StageConfig> stages_;
   PipelineInput input_;
-  /// The call to pass on, when the only stage is a plain service. Its target
-  /// is the path at the service.
+  /// Request to forward if the only stage is a plain service. Its target is
+  /// the path and query at the service.
   std::optional<HttpRequest> service_call_;
-  /// Whether second calls beside slow ones may be made now.
+  /// Whether hedges are allowed now. Must be set.
   std::function<bool()> may_hedge_;
-  /// Next text of the answer. May be empty for answers given whole.
+  /// Called with each further part of the response text. Empty if the response
+  /// is not streamed.
   std::function<void(const EmitText&)> on_text_;
-  /// The request is over; called once, last.
+  /// Called once, last, when the request has ended. Must be set.
   std::function<void(const FinishRequest&)> on_finish_;
 };
 
--- a/include/citronlane/gateway/gateway.h
+++ b/include/citronlane/gateway/gateway.h
@@ -18,66 +18,76 @@
 
 struct ClusterConfig;
 
-/// One gateway: takes callers' requests, drives their pipelines over the
-/// backend servers, answers. All public methods are thread safe, but Start
-/// and the destructor, which one thread calls.
+/// One gateway: accepts callers' requests over HTTP, runs their pipelines on
+/// the backend servers and sends the responses. It doesn't talk to the control
+/// VMs (see GatewayControl) and doesn't own the process (see RunGateway).
+///
+/// All public methods are thread safe, except Start and the destructor, which
+/// must be called by one thread.
 class Gateway {
  public:
   Gateway(GatewayOptions options, GatewayHooks hooks);
-  /// Precondition: never started, or Wait has returned.
+  /// Precondition: Start was not called or failed, or Wait has returned.
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  /// Binds the listener and starts the threads. Returns false and a reason
-  /// when the address can't be bound. Call once.
+  /// Binds the listener and starts the threads. Returns false and sets `error`
+  /// if the address can't be bound. Call once.
   bool Start(Error* error);
 
   /// Port of the listener. Precondition: Start returned true.
   uint16_t port() const;
 
-  /// Takes a configuration of a higher version than the one in force; lower
-  /// or equal ones are ignored. Requests in flight keep theirs. Returns
-  /// whether it is in force now.
+  /// Applies a configuration if its version is higher than the one in force,
+  /// and returns whether it did. Requests in flight keep the configuration
+  /// that they started with. Precondition: `config` is not null.
   bool ApplyConfig(std::shared_ptr<const ClusterConfig> config);
 
-  /// Version in force; 0 when there is none.
+  /// Version of the configuration in force; 0 before the first one.
   uint64_t config_version() const;
 
-  /// The configuration is confirmed until `until`. New work is refused later.
-  /// Without control, call once with TimePoint::max().
+  /// Extends the configuration lease to `until`, never shortens it. New
+  /// requests are refused once it has expired. Without control VMs, call once
+  /// with TimePoint::max().
   void ExtendLease(TimePoint until);
 
-  /// A backend server is leaving: no new calls go to it.
+  /// Stops new calls to a draining backend server.
   void OnServerLeaving(std::string_view server, uint64_t incarnation);
-  /// A backend server lives in this incarnation, later than the one it left.
+  /// Resumes calls to a backend server that has restarted with this, later
+  /// incarnation.
   void OnServerLive(std::string_view server, uint64_t incarnation);
 
-  /// Share of a class's spend that this gateway holds until `until`.
+  /// Sets the amount, in micro-units, that this gateway may spend for a class
+  /// until `until`.
   void OnSpendShare(std::string_view class_name,
                     double amount,
                     TimePoint until);
 
-  /// What each class used since the last call.
+  /// Returns the usage of each class since the last call.
   std::vector<ClassUsage> TakeUsage();
 
-  /// Whether new work is taken now; what /readyz says.
+  /// Whether new requests are accepted and no shutdown has begun; the result of
+  /// /readyz.
   bool ready() const;
 
-  /// Callers' open connections, and requests being served.
+  /// Number of open connections from callers.
   size_t connections() const;
+  /// Number of requests that are being served.
   size_t requests_in_flight() const;
-  /// Refusals dropped before they reached control.
+  /// Number of refusals that were dropped before they reached the control VMs.
   uint64_t refusals_dropped() const;
 
-  /// Starts the graceful shutdown: not ready at once, new work is refused
-  /// after the drain notice, work in flight ends. Returns at once.
+  /// Starts a graceful shutdown and returns at once: the gateway reports that
+  /// it isn't ready, refuses new requests after GatewayOptions::drain_notice_,
+  /// and lets requests in flight end for at most drain_limit_.
   void Shutdown();
 
-  /// Returns when the shutdown is over; true when no work was cut off.
+  /// Waits for the end of the shutdown. Returns false if requests were aborted
+  /// at the drain limit. Precondition: Start returned true.
   bool Wait();
 
-  /// Process life in every request id: "<name>-<incarnation>".
+  /// Returns "<name>-<incarnation>", the prefix of all request and refusal ids.
   const std::string& identity() const;
 
  private:
--- a/include/citronlane/gateway/gateway_control.h
+++ b/include/citronlane/gateway/gateway_control.h
@@ -11,8 +11,9 @@
 class ControlClient;
 class Gateway;
 
-/// Ties a gateway to the control VMs: configuration, lease, claims, refusals,
-/// shares of spend. Not thread safe; used by the main thread.
+/// Connects a Gateway to the control VMs through a ControlClient:
+/// configuration, lease, claims, refusals and spend shares. Not thread safe;
+/// used by the main thread.
 class GatewayControl {
  public:
   /// Precondition: the options name control addresses and an incarnation.
@@ -22,12 +23,14 @@
   GatewayControl(const GatewayControl&) = delete;
   GatewayControl& operator=(const GatewayControl&) = delete;
 
-  /// Fills the hooks that control serves. They must not be called after this
-  /// is gone.
+  /// Sets the hooks that need the control VMs: claims and reports. They must
+  /// not be called after this object is destroyed.
   void Bind(GatewayHooks* hooks);
 
-  /// Connects. `gateway` must outlive Stop. Call once.
+  /// Starts the client. `gateway` must live until Stop has returned. Call once.
   void Start(Gateway* gateway);
+  /// Ends the client: pending claims complete as unavailable, and the gateway
+  /// is not called afterwards.
   void Stop();
 
  private:
--- a/include/citronlane/gateway/gateway_events.h
+++ b/include/citronlane/gateway/gateway_events.h
@@ -12,26 +12,26 @@
 
 namespace citronlane {
 
-/// What a gateway reports to metrics, from any of its threads. A missing hook
-/// is not called.
+/// Hooks for metrics, called from any of the gateway's threads. All are
+/// optional.
 struct GatewayEvents {
   /// A request was refused, or failed after it was admitted.
   std::function<void(const RefusalEntry&, bool admitted)> on_refusal_;
-  /// Refusals were dropped before they reached the journal.
+  /// This many refusals were dropped before they reached the journal.
   std::function<void(uint64_t)> on_unrecorded_;
-  /// An admitted request is over.
+  /// An admitted request has ended.
   std::function<void(const RequestSummary&)> on_request_;
-  /// A stage call of the pool ended, with the tokens taken from it.
+  /// A stage call to the pool ended after `tokens` tokens.
   std::function<void(std::string_view pool, CallOutcome, uint32_t tokens)>
       on_call_;
-  /// A stage call of the pool is made once more.
+  /// A stage call to the pool is about to be repeated.
   std::function<void(std::string_view pool, RetryReason)> on_retry_;
-  /// A hedge of the pool ended, with whether its result was the first.
+  /// A hedge to the pool ended; `won` if its result was used.
   std::function<void(std::string_view pool, bool won)> on_hedge_;
-  /// A result was dropped: "late", "wrong_id", "duplicate_token" or
+  /// A result was discarded; `why` is "late", "wrong_id", "duplicate_token" or
   /// "stream_gap".
   std::function<void(std::string_view pool, std::string_view why)> on_drop_;
-  /// A caller's request could not be read.
+  /// A request could not be parsed.
   std::function<void(RefusalReason)> on_unread_;
 };
 
--- a/include/citronlane/gateway/gateway_hooks.h
+++ b/include/citronlane/gateway/gateway_hooks.h
@@ -14,31 +14,33 @@
 
 namespace citronlane {
 
-/// What a gateway needs from the rest of the process. Every hook may be called
-/// from any of its threads at once. A missing hook means: not there (no
-/// metrics text, no logs, claims unavailable, refusals only logged).
+/// What a gateway needs from the rest of the process. Hooks may be called from
+/// several threads at once. All are optional: without them there is no metrics
+/// text, no log, claims are unavailable and refusals are only logged.
 struct GatewayHooks {
-  /// Takes one log line without its end.
+  /// Writes one log line, given without a line end.
   std::function<void(std::string_view)> log_;
   /// Returns the text for /metrics.
   std::function<std::string()> metrics_text_;
-  /// Claims a key at the control quorum; answers once, from any thread.
+  /// Claims a key at the control quorum. The callback is called once, from any
+  /// thread.
   std::function<void(const ClaimQuery&, std::function<void(ClaimAnswer)>)>
       claim_;
-  /// Stores the answer of a claimed key. `done` is called once, with whether
-  /// the quorum has it.
+  /// Stores the answer of a claimed key. The callback is called once, from any
+  /// thread, with whether the quorum has stored it.
   std::function<
       void(const ClaimQuery&, const StoredAnswer&, std::function<void(bool)>)>
       finish_claim_;
-  /// Gives a claimed key back; called only when nothing ran.
+  /// Releases a claimed key; called only if nothing of the request ran.
   std::function<void(const ClaimQuery&, std::function<void(bool)>)>
       release_claim_;
-  /// Sends refusals to the journal, with the number dropped since the last
-  /// call. Returns whether control has them.
+  /// Sends refusals, and the number dropped since the last successful call, to
+  /// the journal. Returns whether the control VMs have recorded them. May
+  /// block.
   std::function<bool(const std::vector<RefusalEntry>&, uint64_t)>
       report_refusals_;
-  /// Tells control that a backend server says it is leaving; incarnation 0
-  /// when it is not known.
+  /// Reports to the control VMs that a backend server is draining; incarnation
+  /// 0 if unknown.
   std::function<void(std::string_view server, uint64_t incarnation)>
       report_leaving_;
   GatewayEvents events_;
--- a/include/citronlane/gateway/gateway_metrics.h
+++ b/include/citronlane/gateway/gateway_metrics.h
@@ -10,17 +10,17 @@
 class Gateway;
 class Metrics;
 
-/// Counts a gateway's events in the process's metrics. Thread safe.
+/// Records a gateway's events as metrics. Thread safe.
 class GatewayMetrics {
  public:
   /// `metrics` must outlive this.
   explicit GatewayMetrics(Metrics* metrics);
 
-  /// Returns hooks that count; they must not be called after this is gone.
+  /// Returns hooks that update the metrics. They must not be called after this
+  /// object is destroyed.
   GatewayEvents Events();
 
-  /// Returns the text for /metrics, with the gauges of `gateway` as they are
-  /// now.
+  /// Updates the gauges from `gateway` and returns the text for /metrics.
   std::string Text(const Gateway& gateway);
 
  private:
--- a/include/citronlane/gateway/gateway_run.h
+++ b/include/citronlane/gateway/gateway_run.h
@@ -7,12 +7,13 @@
 
 namespace citronlane {
 
-/// Runs a gateway process: reads the bootstrap configuration or connects to
-/// control, serves until SIGTERM or SIGINT, then shuts down gracefully. The
-/// control hooks left empty in `hooks` are bound to the control client.
-/// Returns false and a reason when it can't start or work was cut off. Call
-/// once, from the main thread, before other threads are started: it blocks
-/// both signals.
+/// Runs a gateway process: reads the bootstrap configuration or connects to the
+/// control VMs, serves until SIGTERM or SIGINT, then shuts down gracefully.
+/// Replaces the events and metrics hooks of `hooks`, the control hooks too if
+/// there are control VMs, and logs to the process's log if log_ is empty.
+/// Returns false and sets `error` if the gateway can't start or requests were
+/// aborted at the drain limit. Call once, from the main thread, before other
+/// threads are started, because it blocks both signals.
 bool RunGateway(const GatewayOptions& options,
                 GatewayHooks hooks,
                 Error* error);
--- a/include/citronlane/gateway/gateway_state.h
+++ b/include/citronlane/gateway/gateway_state.h
@@ -15,28 +15,30 @@
 class ConfigView;
 struct ClusterConfig;
 
-/// Whether a gateway takes new work: its configuration, the lease on it, and
-/// the steps of the shutdown. Thread safe.
+/// Decides whether a gateway accepts new requests, from its configuration, the
+/// lease on it and the phase of the shutdown. Thread safe.
 class GatewayState {
  public:
-  /// Takes a higher version; false and no change when it is not higher.
+  /// Applies `config` if its version is higher than the current one; otherwise
+  /// returns false and changes nothing. Precondition: not null.
   bool ApplyConfig(std::shared_ptr<const ClusterConfig> config);
-  /// Configuration in force; null when there is none.
+  /// Returns the configuration in force, or null before the first one.
   std::shared_ptr<const ConfigView> config() const;
+  /// Returns the version in force, or 0 before the first one.
   uint64_t config_version() const;
 
-  /// The configuration is confirmed until then; never moves back.
+  /// Extends the lease to `until`; an earlier time is ignored.
   void ExtendLease(TimePoint until);
 
-  /// First step of the shutdown: not ready, but new work is still taken.
+  /// First phase of the shutdown: not ready, but new requests are accepted.
   void BeginDrain() { draining_ = true; }
-  /// Second step: new work is refused.
+  /// Second phase of the shutdown: new requests are refused.
   void RefuseNewWork() { refusing_ = true; }
   bool draining() const { return draining_; }
 
-  /// Why new work is refused now; nothing when it is taken.
+  /// Returns the reason to refuse new requests, or nothing to accept them.
   std::optional<RefusalReason> Refuses(TimePoint now) const;
-  /// What the balancer is told.
+  /// Whether the load balancer should send requests here.
   bool Ready(TimePoint now) const;
 
  private:
--- a/include/citronlane/gateway/pool_estimate.h
+++ b/include/citronlane/gateway/pool_estimate.h
@@ -8,13 +8,13 @@
 
 namespace citronlane {
 
-/// What a pool can promise a new call.
+/// Expected performance of a pool for a new call.
 struct PoolEstimate {
-  /// Best expected finish; nothing when it is not known yet.
+  /// Expected time to the end of the call on the best server; empty if unknown.
   std::optional<Duration> finish_;
-  /// The same for the first byte of a streamed answer.
+  /// Expected time to the first byte of a streamed reply; empty if unknown.
   std::optional<Duration> first_byte_;
-  /// PoolRouter::IsDown.
+  /// See PoolRouter::IsDown.
   bool down_ = false;
   size_t in_flight_ = 0;
   size_t usable_servers_ = 0;
--- a/include/citronlane/gateway/pool_shard.h
+++ b/include/citronlane/gateway/pool_shard.h
@@ -24,30 +24,38 @@
 
 struct PoolConfig;
 
-/// One pool's router and budgets for extra calls, under their own lock. Thread
-/// safe.
+/// The router of one pool and its budgets for hedges and retries, protected by
+/// a lock of their own. Shared by all threads of the gateway. Thread safe.
 class PoolShard {
  public:
+  /// The ratios are the budgets as a fraction of the first calls.
   PoolShard(const PoolConfig& pool,
             const RouterOptions& options,
             double hedge_ratio,
             double retry_ratio,
             uint64_t seed);
 
+  /// Applies a new configuration; load and latency data of the servers that
+  /// remain are kept.
   void Update(const PoolConfig& pool, TimePoint now);
 
-  /// Chooses a server; one of `excluded` only when `may_fall_back` and there
-  /// is no other. Accounts for the call's start.
+  /// Chooses a server and records the start of the call; each call that is
+  /// placed must be ended by OnFinish. Servers in `excluded` are used only if
+  /// `may_fall_back` is set and there is no other. A call with nothing excluded
+  /// counts as a first call and adds to the budgets. Returns nothing if no
+  /// server is usable.
   std::optional<ServerConfig> Place(TimePoint now,
                                     const CallShape& call,
                                     absl::Span<const std::string> excluded,
                                     bool may_fall_back);
 
-  /// Like Place, but on that server. Nothing when it is gone.
+  /// Like Place, but on the given server. Returns nothing if the server is no
+  /// longer configured.
   std::optional<ServerConfig> PlaceOn(std::string_view server,
                                       TimePoint now,
                                       const CallShape& call);
 
+  /// The methods below report to the PoolRouter; see there.
   void OnFirstByte(std::string_view server, TimePoint now, Duration latency);
   void OnFinish(std::string_view server,
                 TimePoint now,
@@ -69,16 +77,18 @@
   PoolEstimate Estimate(TimePoint now, const CallShape& call) const;
   size_t in_flight() const;
 
-  /// PoolRouter::OnPlanned.
+  /// See PoolRouter::OnPlanned.
   void OnPlanned(int calls);
 
-  /// Take one extra call from the budget; false when it is spent or, for a
-  /// hedge, when HedgePolicy has another reason against it.
+  /// Takes one hedge from the budget. Returns false if HedgePolicy decides
+  /// against it, for example because the budget is spent.
   bool TakeHedge(const HedgeQuery& query);
+  /// Takes one retry from the budget; false if it is spent.
   bool TakeRetry();
 
  private:
-  std::optional<ServerConfig> Started(const std::string& server,
+  /// Records the start of a call; nothing if the server isn't configured.
+  std::optional<ServerConfig> StartOn(const std::string& server,
                                       TimePoint now,
                                       const CallShape& call);
 
--- a/include/citronlane/gateway/pool_shards.h
+++ b/include/citronlane/gateway/pool_shards.h
@@ -16,20 +16,23 @@
 
 struct ClusterConfig;
 
-/// The pools in force, each a shard of its own. Thread safe.
+/// The pools of the configuration in force, each with a lock of its own. Thread
+/// safe.
 class PoolShards {
  public:
   PoolShards(RouterOptions options, double hedge_ratio, double retry_ratio);
 
-  /// Takes a new version; pools that go on keep what they learned.
+  /// Applies a new configuration; pools that remain keep their load and latency
+  /// data.
   void Update(const ClusterConfig& config, TimePoint now);
 
-  /// Returns the pool, or null. The caller may keep it beyond an Update.
+  /// Returns the pool, or null if there is none of that name. It remains usable
+  /// after an Update that removes it.
   std::shared_ptr<PoolShard> Find(std::string_view pool) const;
 
-  /// Tells every pool that the server is leaving.
+  /// Reports to every pool that the server is draining.
   void OnLeaving(std::string_view server, uint64_t incarnation, TimePoint now);
-  /// Tells every pool that the server lives in this incarnation.
+  /// Reports to every pool that the server runs with this incarnation.
   void OnAlive(std::string_view server, uint64_t incarnation, TimePoint now);
 
  private:
--- a/include/citronlane/gateway/receipt.h
+++ b/include/citronlane/gateway/receipt.h
@@ -8,11 +8,13 @@
 
 struct RefusalEntry;
 
-/// Returns the text that a refusal's receipt is signed over: one line a field,
-/// in the order of docs/design/caller-api.md. Thread safe.
+/// Returns the text that the receipt of a refusal signs, one field per line:
+/// id, reason number, verdict, account, class, target, gateway, configuration
+/// version, time in Unix milliseconds, figures as JSON. Part of the caller API:
+/// callers rebuild it to verify a receipt. Thread safe.
 std::string ReceiptText(const RefusalEntry& entry);
 
-/// Returns HMAC-SHA256 of the receipt's text under the key, in lower-case
+/// Returns the HMAC-SHA256 of ReceiptText with `key`, in lower-case
 /// hexadecimal. Thread safe.
 std::string SignReceipt(const RefusalEntry& entry, std::string_view key);
 
--- a/include/citronlane/gateway/refusal_backlog.h
+++ b/include/citronlane/gateway/refusal_backlog.h
@@ -12,24 +12,29 @@
 
 namespace citronlane {
 
-/// Refusals on their way to the journal: bounded, oldest dropped first, every
-/// drop counted. Refusals of bad input take at most half of the room. Thread
+/// Bounded queue of refusals that wait to be sent to the journal. When it is
+/// full, the oldest entry is dropped; refusals that the caller caused (reasons
+/// 1xx and 2xx) are dropped once it is half full. Every drop is counted. Thread
 /// safe.
 class RefusalBacklog {
  public:
-  /// Sends a batch with the number dropped; returns whether control has it.
+  /// Sends a batch and the number dropped since the last batch; returns whether
+  /// the control VMs have recorded both. May block.
   using SendHook =
       std::function<bool(const std::vector<RefusalEntry>&, uint64_t)>;
 
+  /// `bound` is the maximum number of entries.
   RefusalBacklog(size_t bound, SendHook send);
 
   void Add(const RefusalEntry& entry);
 
-  /// Sends all that waits, batch by batch; what could not be sent stays. One
-  /// thread at a time calls it. Returns whether nothing is left.
+  /// Sends all entries in batches and returns true, or stops at the first batch
+  /// that could not be sent, keeps it and returns false. Call from one thread
+  /// at a time.
   bool Flush();
 
   size_t size() const;
+  /// Total number of refusals dropped.
   uint64_t dropped() const;
 
  private:
--- a/include/citronlane/gateway/refusal_context.h
+++ b/include/citronlane/gateway/refusal_context.h
@@ -6,15 +6,15 @@
 
 namespace citronlane {
 
-/// Whose request is refused, as far as it is known.
+/// The request that is refused, as far as it was parsed.
 struct RefusalContext {
   std::string request_id_;
   std::string account_;
   std::string class_name_;
-  /// Pipeline or service.
+  /// Name of the pipeline or service.
   std::string target_;
   uint64_t config_version_ = 0;
-  /// The request was admitted and failed later.
+  /// Whether the request was admitted and failed later.
   bool admitted_ = false;
 };
 
--- a/include/citronlane/gateway/refusal_entry.h
+++ b/include/citronlane/gateway/refusal_entry.h
@@ -10,14 +10,14 @@
 
 namespace citronlane {
 
-/// One refusal as the journal on the control VMs keeps it.
+/// One refusal as recorded in the journal on the control VMs.
 struct RefusalEntry {
   std::string id_;
   RefusalReason reason_ = RefusalReason::kInternal;
   Verdict verdict_ = Verdict::kNotRun;
   std::string account_;
   std::string class_name_;
-  /// Pipeline or service.
+  /// Name of the pipeline or service.
   std::string target_;
   std::string gateway_;
   uint64_t config_version_ = 0;
--- a/include/citronlane/gateway/refusal_writer.h
+++ b/include/citronlane/gateway/refusal_writer.h
@@ -17,18 +17,19 @@
 
 namespace citronlane {
 
-/// Turns refusals into what the caller sees, one log line, one record for the
+/// Turns a refusal into the response for the caller and an entry for log and
 /// journal. Thread safe.
 class RefusalWriter {
  public:
   /// Called for each refusal, from any thread.
   using EntryHook = std::function<void(const RefusalEntry&, bool admitted)>;
 
-  /// `identity` is the gateway's name with its incarnation.
+  /// `identity` is Gateway::identity.
   RefusalWriter(std::string identity, std::string receipt_key, EntryHook sink);
 
-  /// Numbers, signs and records the refusal, and returns the reply with its
-  /// body as application/problem+json.
+  /// Assigns an id, passes the entry to the hook and returns the response: a
+  /// signed application/problem+json body and the refusal headers. `detail` is
+  /// shown to the caller; may be empty.
   HttpReply Write(const RefusalContext& context,
                   const Refusal& refusal,
                   Verdict verdict,
@@ -38,7 +39,7 @@
   RefusalEntry MakeEntry(const RefusalContext& context,
                          const Refusal& refusal,
                          Verdict verdict);
-  Duration SpreadRetryAfter(const Refusal& refusal);
+  Duration JitterRetryAfter(const Refusal& refusal);
 
   const std::string identity_;
   const std::string receipt_key_;
--- a/include/citronlane/gateway/request_claim.h
+++ b/include/citronlane/gateway/request_claim.h
@@ -17,28 +17,30 @@
 class HttpExchange;
 struct GatewayHooks;
 
-/// The claim on one Idempotency-Key: taken before the first dispatch, then
-/// finished with the answer or released. Suspends the handler while control
-/// answers. Not thread safe; used on the connection's thread.
+/// The claim on one Idempotency-Key: taken before the first stage call, then
+/// either finished with the answer or released. Suspends the handler's
+/// coroutine while it waits for the control VMs. Not thread safe; used on the
+/// connection's thread.
 class RequestClaim {
  public:
-  /// All pointers must outlive the claim. An answer of more than
-  /// `max_stored_bytes` is replaced by a refusal that says so.
+  /// All pointers must outlive the claim. `max_stored_bytes` is only kept for
+  /// max_stored_bytes(): the caller must not pass a larger answer to Finish.
   RequestClaim(ClaimQuery query,
                const GatewayHooks* hooks,
                boost::asio::io_context* io,
                HttpExchange* exchange,
                uint64_t max_stored_bytes);
 
-  /// Asks control. Call once, first.
+  /// Claims the key and waits for the reply. Call once, before the others.
   ClaimAnswer Take();
 
-  /// Stores the answer; waits for control, but only a bounded time: the hook
-  /// goes on trying. Precondition: Take gave kGranted; neither Finish nor
-  /// Release was called.
+  /// Stores the answer. Waits for the control VMs for a limited time only; the
+  /// hook keeps retrying afterwards. Precondition: Take returned kGranted, and
+  /// neither Finish nor Release was called.
   void Finish(const StoredAnswer& answer);
 
-  /// Gives the key back. Precondition: as for Finish, and nothing ran.
+  /// Releases the key without waiting. Precondition: as for Finish, and nothing
+  /// of the request ran.
   void Release();
 
   uint64_t max_stored_bytes() const { return max_stored_bytes_; }
--- a/include/citronlane/gateway/request_driver.h
+++ b/include/citronlane/gateway/request_driver.h
@@ -20,7 +20,7 @@
 #include "citronlane/transport/stage_reply_head.h"
 
 namespace citronlane::detail {
-struct CallFlight;
+struct InFlightCall;
 }  // namespace citronlane::detail
 
 namespace citronlane {
@@ -29,9 +29,10 @@
 struct PoolConfig;
 class PoolShard;
 
-/// Carries out what one Request commands: places and makes its calls, keeps
-/// its timers, feeds it what comes back. Not thread safe: used on its
-/// context's thread. Held by shared_ptr, as calls in flight refer to it.
+/// Executes the commands of one Request state machine: places and sends its
+/// stage calls, runs its timers and passes replies back to it. Not thread safe:
+/// used on the thread of its context. Must be owned by a shared_ptr, because
+/// calls in flight refer to it.
 class RequestDriver : public std::enable_shared_from_this<RequestDriver> {
  public:
   /// `context` must outlive the driver.
@@ -43,21 +44,21 @@
   /// Starts the first stage. Call once.
   void Start();
 
-  /// The caller is gone: everything is cancelled.
+  /// Cancels the request because the caller disconnected.
   void CallerGone();
 
   const Request& request() const { return request_; }
-  /// Cost of each stage so far.
+  /// Returns the cost of each stage so far, in the order of the stages.
   std::vector<StageCost> Costs() const;
-  /// When the first text of the answer came.
+  /// When the first text of the response was received.
   std::optional<TimePoint> first_text() const { return first_text_; }
-  /// Reply of a plain service, when the request is whole.
+  /// Reply of a plain service, once it was received.
   const std::optional<HttpReply>& service_reply() const {
     return service_reply_;
   }
 
  private:
-  using FlightPtr = std::shared_ptr<detail::CallFlight>;
+  using InFlightCallPtr = std::shared_ptr<detail::InFlightCall>;
 
   void Pump();
   void Execute(const StartCall& command);
@@ -66,44 +67,47 @@
   void Execute(const EmitText& command);
   void Execute(const FinishRequest& command);
 
-  FlightPtr Place(const StartCall& command);
-  void Launch(const FlightPtr& flight, const StartCall& command);
-  StageCallSpec MakeSpec(const detail::CallFlight& flight,
+  InFlightCallPtr Place(const StartCall& command);
+  void Launch(const InFlightCallPtr& call, const StartCall& command);
+  StageCallSpec MakeSpec(const detail::InFlightCall& call,
                          const StartCall& command) const;
   void FillServiceCall(StageCallSpec* spec) const;
   uint64_t PrefixHash() const;
-  /// Tells the pools of all stages that this request will call them.
-  void PlanStages();
-  /// Takes that back for the stages before `end`.
-  void ReleasePlanned(size_t end);
+  /// Announces one planned call to the pool of each stage.
+  void RegisterPlannedCalls();
+  /// Withdraws the planned calls of the stages before `end`.
+  void ReleasePlannedCalls(size_t end);
   bool TakeHedge(uint32_t stage);
   bool TakeRetry(uint32_t stage, RetryReason reason);
   HedgeQuery MakeHedgeQuery(const PoolShard& pool) const;
   TimePoint AttemptDeadline(uint32_t stage) const;
   const PoolConfig& PoolOf(uint32_t stage) const;
 
-  bool OnHead(const FlightPtr& flight, const StageReplyHead& head);
-  void OnData(const FlightPtr& flight, std::string_view piece);
-  bool OnToken(const FlightPtr& flight, const Token& token);
-  void OnDone(const FlightPtr& flight, CallOutcome outcome, std::string body);
-  void TakeReply(const FlightPtr& flight, std::string_view body);
-  void TakeServiceReply(const FlightPtr& flight, std::string body);
-  void FailFlight(const FlightPtr& flight, CallOutcome outcome);
-  void EndFlight(const FlightPtr& flight, CallOutcome outcome);
-  void ReportDrops(const FlightPtr& flight);
+  bool OnHead(const InFlightCallPtr& call, const StageReplyHead& head);
+  void OnData(const InFlightCallPtr& call, std::string_view piece);
+  bool OnToken(const InFlightCallPtr& call, const Token& token);
+  void OnDone(const InFlightCallPtr& call,
+              CallOutcome outcome,
+              std::string body);
+  void HandleReply(const InFlightCallPtr& call, std::string_view body);
+  void HandleServiceReply(const InFlightCallPtr& call, std::string body);
+  void FailCall(const InFlightCallPtr& call, CallOutcome outcome);
+  void CompleteCall(const InFlightCallPtr& call, CallOutcome outcome);
+  void ReportDrops(const InFlightCallPtr& call);
   std::optional<Duration> StageTime(uint32_t stage) const;
-  FlightPtr FindFlight(const AttemptId& attempt) const;
+  InFlightCallPtr FindCall(const AttemptId& attempt) const;
 
   const DriverContext* const context_;
   const DriverJob job_;
-  /// One for each stage, kept even if a later configuration drops the pool.
+  /// One per stage; kept even if a later configuration removes the pool. Null
+  /// if there was no such pool.
   const std::vector<std::shared_ptr<PoolShard>> pools_;
   Request request_;
-  std::vector<FlightPtr> flights_;
+  std::vector<InFlightCallPtr> in_flight_calls_;
   boost::asio::steady_timer deadline_timer_;
   bool pumping_ = false;
   std::vector<TimePoint> stage_starts_;
-  /// Pools of the stages still to come; null for the others.
+  /// Pools of the stages that have not started; null for the others.
   std::vector<std::shared_ptr<PoolShard>> planned_;
   RequestCounters reported_;
   std::optional<TimePoint> first_text_;
--- a/include/citronlane/gateway/request_summary.h
+++ b/include/citronlane/gateway/request_summary.h
@@ -13,24 +13,24 @@
 
 namespace citronlane {
 
-/// One admitted request after its end, for metrics.
+/// Outcome of one admitted request, for metrics.
 struct RequestSummary {
   std::string account_;
   std::string class_name_;
-  /// Pipeline or service.
+  /// Name of the pipeline or service.
   std::string target_;
-  bool whole_ = false;
-  /// Why not, when it is not whole.
+  bool complete_ = false;
+  /// Why the request failed. Meaningful only if complete_ is false.
   RefusalReason reason_ = RefusalReason::kInternal;
   Verdict verdict_ = Verdict::kNotRun;
-  /// Whether the class's target was met.
+  /// Whether the latency targets of the class were met.
   bool met_target_ = false;
   Duration answer_time_{};
   std::optional<Duration> first_token_time_;
   std::vector<StageCost> costs_;
   RequestCounters counters_;
 
-  /// Cost of all stages together, in micro-units.
+  /// Returns the total cost of all stages, in micro-units.
   double Cost() const;
 };
 
--- a/include/citronlane/gateway/stage_cost.h
+++ b/include/citronlane/gateway/stage_cost.h
@@ -9,14 +9,15 @@
 
 namespace citronlane {
 
-/// What one stage of a request came to.
+/// Cost, calls and duration of one stage of a request.
 struct StageCost {
   std::string stage_;
-  /// Micro-units, for every call of which a byte was sent.
+  /// In micro-units. Includes every call of which at least a byte was sent.
   double cost_ = 0;
   uint32_t calls_ = 0;
   uint64_t tokens_ = 0;
-  /// From the stage's start to its end; nothing when it did not start.
+  /// From the start of the stage to its end, or to now while it runs. Empty if
+  /// it did not start.
   std::optional<Duration> time_;
 };
 
--- a/include/citronlane/gateway/stored_answer.h
+++ b/include/citronlane/gateway/stored_answer.h
@@ -5,7 +5,7 @@
 
 namespace citronlane {
 
-/// Final answer of a non-idempotent request, as it is kept under its key.
+/// Final response of a request, as stored under its Idempotency-Key.
 struct StoredAnswer {
   int status_ = 0;
   std::string content_type_;
--- a/include/citronlane/gateway/usage_meter.h
+++ b/include/citronlane/gateway/usage_meter.h
@@ -11,15 +11,17 @@
 
 namespace citronlane {
 
-/// Adds up what each class used between two reports to control. Thread safe.
+/// Sums up the usage of each class between two reports to the control VMs.
+/// Thread safe.
 class UsageMeter {
  public:
   explicit UsageMeter(TimePoint start);
 
-  /// A request of the class was admitted and cost this much.
+  /// Adds one admitted request and its cost in micro-units.
   void Add(const std::string& class_name, double cost);
 
-  /// Returns what was used since the last call.
+  /// Returns the usage since the last call, or since the construction, and
+  /// resets it.
   std::vector<ClassUsage> Take(TimePoint now);
 
  private:
--- a/src/gateway/admission_estimate.cc
+++ b/src/gateway/admission_estimate.cc
@@ -9,8 +9,8 @@
 namespace citronlane {
 namespace {
 
-/// Adds up what the stages are expected to take.
-class StageSums {
+/// Sums up the expected times of the stages; unknown once one of them is.
+class StageTimeSum {
  public:
   void Add(const std::optional<Duration>& first,
            const std::optional<Duration>& finish) {
@@ -51,7 +51,7 @@
   query.first_token_target_ = request.class_->first_token_target_;
   query.deadline_ = request.deadline_;
 
-  StageSums sums;
+  StageTimeSum sums;
   Duration longest{-1};
   for (const StageConfig& stage : request.stages_) {
     const PoolConfig& config = request.config_->pools_.at(stage.pool_);
--- a/src/gateway/answer_writer.cc
+++ b/src/gateway/answer_writer.cc
@@ -63,21 +63,21 @@
 
 }  // namespace
 
-AnswerWriter::AnswerWriter(CallerRequest::Kind kind,
-                           std::string request_id,
-                           std::string pipeline,
-                           uint64_t config_version)
+ResponseWriter::ResponseWriter(CallerRequest::Kind kind,
+                               std::string request_id,
+                               std::string pipeline,
+                               uint64_t config_version)
     : kind_(kind),
       request_id_(std::move(request_id)),
       pipeline_(std::move(pipeline)),
       config_version_(config_version) {}
 
-std::vector<HttpHeader> AnswerWriter::Headers() const {
+std::vector<HttpHeader> ResponseWriter::Headers() const {
   return {{"X-Request-Id", request_id_},
           {"X-Config-Version", std::to_string(config_version_)}};
 }
 
-HttpHeader AnswerWriter::CostHeader(absl::Span<const StageCost> costs) {
+HttpHeader ResponseWriter::CostHeader(absl::Span<const StageCost> costs) {
   std::string text;
   for (const StageCost& cost : costs) {
     text.append(text.empty() ? "" : ", ").append(cost.stage_).append(";cost=");
@@ -87,7 +87,7 @@
   return {"X-Cost-By-Stage", std::move(text)};
 }
 
-JsonValue AnswerWriter::Frame(std::string_view object) const {
+JsonValue ResponseWriter::Frame(std::string_view object) const {
   JsonValue frame = JsonValue::Object();
   frame.AppendMember("id", JsonValue::String(request_id_));
   if (kind_ == CallerRequest::Kind::kChat) {
@@ -99,9 +99,9 @@
   return frame;
 }
 
-void AnswerWriter::AddReport(const StageOutput& output,
-                             absl::Span<const StageCost> costs,
-                             JsonValue* frame) const {
+void ResponseWriter::AddReport(const StageOutput& output,
+                               absl::Span<const StageCost> costs,
+                               JsonValue* frame) const {
   JsonValue report = JsonValue::Object();
   report.AppendMember("config_version",
                       JsonValue::Number(static_cast<double>(config_version_)));
@@ -110,8 +110,9 @@
   frame->AppendMember("citronlane", std::move(report));
 }
 
-std::string AnswerWriter::Whole(const StageOutput& output,
-                                absl::Span<const StageCost> costs) const {
+std::string ResponseWriter::CompleteResponse(
+    const StageOutput& output,
+    absl::Span<const StageCost> costs) const {
   JsonValue frame = Frame("chat.completion");
   const std::string text = output.text_.value_or("");
   if (kind_ == CallerRequest::Kind::kChat) {
@@ -133,7 +134,7 @@
   return WriteJson(frame);
 }
 
-std::string AnswerWriter::TextEvent(const EmitText& text) const {
+std::string ResponseWriter::TextEvent(const EmitText& text) const {
   JsonValue frame = Frame("chat.completion.chunk");
   if (kind_ == CallerRequest::Kind::kChat) {
     JsonValue delta = JsonValue::Object();
@@ -147,8 +148,9 @@
   return Event(frame);
 }
 
-std::string AnswerWriter::LastEvents(const StageOutput& output,
-                                     absl::Span<const StageCost> costs) const {
+std::string ResponseWriter::FinalEvents(
+    const StageOutput& output,
+    absl::Span<const StageCost> costs) const {
   JsonValue frame = Frame("chat.completion.chunk");
   if (kind_ == CallerRequest::Kind::kChat) {
     frame.AppendMember(
@@ -161,7 +163,7 @@
   return Event(frame) + "data: [DONE]\n\n";
 }
 
-std::string AnswerWriter::ErrorEvent(std::string_view problem) {
+std::string ResponseWriter::ErrorEvent(std::string_view problem) {
   return std::string("event: error\ndata: ").append(problem).append("\n\n");
 }
 
--- a/src/gateway/caller_handler.cc
+++ b/src/gateway/caller_handler.cc
@@ -16,8 +16,8 @@
 namespace citronlane {
 namespace {
 
-/// Text that a slow caller may leave waiting before it counts as gone.
-constexpr size_t kMaxPendingText = size_t{1024} * 1024;
+/// A caller that leaves more streamed text than this unsent counts as gone.
+constexpr size_t kMaxPendingTextBytes = size_t{1024} * 1024;
 constexpr std::string_view kEventStream = "text/event-stream";
 
 double Milliseconds(Duration time) {
@@ -60,9 +60,9 @@
                               summary.met_target_);
   parts_.on_request_(summary);
   if (finish_->whole_) {
-    AnswerWhole();
+    SendCompleteResponse();
   } else {
-    AnswerFailed();
+    SendFailure();
   }
 }
 
@@ -78,7 +78,7 @@
   ClaimAnswer answer = claim_->Take();
   if (answer.result_ != ClaimAnswer::Result::kGranted) {
     claim_.reset();
-    AnswerClaimed(std::move(answer));
+    RespondToClaim(std::move(answer));
     return false;
   }
   if (exchange_->caller_gone()) {
@@ -88,12 +88,12 @@
   return true;
 }
 
-void CallerHandler::AnswerClaimed(ClaimAnswer answer) {
+void CallerHandler::RespondToClaim(ClaimAnswer answer) {
   switch (answer.result_) {
     case ClaimAnswer::Result::kUnavailable:
       Refuse(RefusalReason::kControlUnreachable, Verdict::kNotRun,
-             "this delivery was not run; an earlier one with the same key is "
-             "not known of");
+             "this request was not run; whether an earlier one with the same "
+             "key was run is not known");
       return;
     case ClaimAnswer::Result::kRunning:
       Refuse(RefusalReason::kIdempotentRequestRunning, Verdict::kMayHaveRun,
@@ -140,12 +140,13 @@
 void CallerHandler::Drive() {
   driver_ = std::make_shared<RequestDriver>(&context_, MakeJob());
   driver_->Start();
-  // A claimed request runs to its end, so that its key has an answer.
+  // A claimed request runs to its end even if the caller disconnects, so that
+  // a repeated request with its key gets the answer.
   bool watch_caller = claim_ == nullptr;
   while (!finish_) {
     exchange_->Wait();
     FlushText();
-    const bool stalled = pending_text_.size() > kMaxPendingText;
+    const bool stalled = pending_text_.size() > kMaxPendingTextBytes;
     if (watch_caller && (stalled || exchange_->caller_gone())) {
       watch_caller = false;
       driver_->CallerGone();
@@ -216,21 +217,21 @@
   return exchange_->Write(bytes);
 }
 
-void CallerHandler::AnswerWhole() {
+void CallerHandler::SendCompleteResponse() {
   if (request_.stream_) {
-    AnswerWholeStream();
+    SendFinalEvents();
     return;
   }
-  const HttpReply reply = WholeReply();
+  const HttpReply reply = MakeCompleteResponse();
   if (claim_ != nullptr) {
     StoreAnswer(reply.status_, reply.content_type_, reply.body_);
   }
   exchange_->Reply(reply);
 }
 
-void CallerHandler::AnswerWholeStream() {
+void CallerHandler::SendFinalEvents() {
   const std::string last =
-      writer_.LastEvents(driver_->request().output(), driver_->Costs());
+      writer_.FinalEvents(driver_->request().output(), driver_->Costs());
   const std::string bytes = std::exchange(pending_text_, {}) + last;
   if (claim_ != nullptr) {
     StoreAnswer(200, std::string(kEventStream), sent_text_ + bytes);
@@ -259,23 +260,23 @@
                               std::move(reply.body_)});
 }
 
-HttpReply CallerHandler::WholeReply() const {
+HttpReply CallerHandler::MakeCompleteResponse() const {
   const std::vector<StageCost> costs = driver_->Costs();
   HttpReply reply;
   if (driver_->service_reply()) {
     reply = *driver_->service_reply();
   } else {
-    reply.body_ = writer_.Whole(driver_->request().output(), costs);
+    reply.body_ = writer_.CompleteResponse(driver_->request().output(), costs);
   }
   for (HttpHeader& header : writer_.Headers()) {
     reply.headers_.push_back(std::move(header));
   }
-  reply.headers_.push_back(AnswerWriter::CostHeader(costs));
+  reply.headers_.push_back(ResponseWriter::CostHeader(costs));
   return reply;
 }
 
-void CallerHandler::AnswerFailed() {
-  const HttpReply reply = WriteFailure();
+void CallerHandler::SendFailure() {
+  const HttpReply reply = MakeFailure();
   if (claim_ != nullptr) {
     if (finish_->verdict_ == Verdict::kNotRun) {
       claim_->Release();
@@ -291,11 +292,11 @@
     return;
   }
   exchange_->Write(std::exchange(pending_text_, {}) +
-                   AnswerWriter::ErrorEvent(reply.body_));
+                   ResponseWriter::ErrorEvent(reply.body_));
   exchange_->Abort();
 }
 
-HttpReply CallerHandler::WriteFailure() {
+HttpReply CallerHandler::MakeFailure() {
   const Request& request = driver_->request();
   Refusal refusal;
   refusal.reason_ = finish_->reason_;
@@ -322,7 +323,7 @@
   summary.account_ = request_.account_->name_;
   summary.class_name_ = request_.class_->name_;
   summary.target_ = request_.target_;
-  summary.whole_ = finish_->whole_;
+  summary.complete_ = finish_->whole_;
   summary.reason_ = finish_->reason_;
   summary.verdict_ = finish_->verdict_;
   summary.answer_time_ = SteadyNow() - start_;
@@ -340,7 +341,7 @@
   const bool first_in_time =
       !target.first_token_target_ || !summary.first_token_time_ ||
       *summary.first_token_time_ <= *target.first_token_target_;
-  return summary.whole_ && first_in_time &&
+  return summary.complete_ && first_in_time &&
          summary.answer_time_ <= target.answer_target_;
 }
 
--- a/src/gateway/caller_request_reader.cc
+++ b/src/gateway/caller_request_reader.cc
@@ -18,15 +18,15 @@
 constexpr std::string_view kChatPath = "/v1/chat/completions";
 constexpr std::string_view kServicePrefix = "/services/";
 constexpr std::string_view kBearer = "Bearer ";
-constexpr size_t kMaxIdempotencyKey = 128;
+constexpr size_t kMaxIdempotencyKeyBytes = 128;
 constexpr double kMaxTokensAllowed = 1'000'000;
 
 bool StartsWith(std::string_view text, std::string_view prefix) {
   return text.substr(0, prefix.size()) == prefix;
 }
 
-bool IsKeyText(std::string_view key) {
-  return !key.empty() && key.size() <= kMaxIdempotencyKey &&
+bool IsValidIdempotencyKey(std::string_view key) {
+  return !key.empty() && key.size() <= kMaxIdempotencyKeyBytes &&
          std::all_of(key.begin(), key.end(),
                      [](char c) { return c > ' ' && c < '\x7f'; });
 }
@@ -58,8 +58,9 @@
        {"Host", "Authorization", "X-Class", "Idempotency-Key",
         "X-Non-Idempotent", "Content-Type", "Content-Length"}) {
     if (http_.CountHeader(name) > 1) {
-      return Fail(RefusalReason::kMalformedRequest,
-                  std::string("the header ") + name + " stands twice");
+      return Fail(
+          RefusalReason::kMalformedRequest,
+          std::string("the header ") + name + " appears more than once");
     }
   }
   return true;
@@ -69,7 +70,7 @@
   const std::string_view header = http_.Header("Authorization");
   if (!detail::SameHeaderName(header.substr(0, kBearer.size()), kBearer)) {
     return Fail(RefusalReason::kUnknownAccount,
-                "the header Authorization holds no bearer key");
+                "the header Authorization contains no bearer key");
   }
   result_.account_ = view_.FindAccount(header.substr(kBearer.size()));
   if (result_.account_ == nullptr) {
@@ -101,10 +102,10 @@
 
 bool CallerRequestReader::ReadPipelinePath(std::string_view name) {
   result_.kind_ = CallerRequest::Kind::kPipeline;
-  return TakePipeline(std::string(name)) && ReadPipelineBody();
+  return SelectPipeline(std::string(name)) && ReadPipelineBody();
 }
 
-bool CallerRequestReader::TakePipeline(const std::string& name) {
+bool CallerRequestReader::SelectPipeline(const std::string& name) {
   const auto& pipelines = result_.config_->pipelines_;
   const auto found = pipelines.find(name);
   if (found == pipelines.end()) {
@@ -138,12 +139,12 @@
   result_.service_target_ = std::move(target);
   result_.deadline_ = service.deadline_;
   const std::string_view path = result_.service_target_;
-  TakeServiceRoute(service, path.substr(0, path.find('?')));
+  SelectServiceRoute(service, path.substr(0, path.find('?')));
   return true;
 }
 
-void CallerRequestReader::TakeServiceRoute(const ServiceConfig& service,
-                                           std::string_view path) {
+void CallerRequestReader::SelectServiceRoute(const ServiceConfig& service,
+                                             std::string_view path) {
   StageConfig stage;
   stage.name_ = service.name_;
   stage.pool_ = service.pool_;
@@ -157,7 +158,8 @@
     stage.non_idempotent_ = route->non_idempotent_;
     result_.non_idempotent_ = route->non_idempotent_;
   } else {
-    // Not declared: never repeated here, but the caller needs no key.
+    // Methods other than GET and HEAD are never repeated on an undeclared
+    // route, but don't require an Idempotency-Key.
     stage.non_idempotent_ = http_.method_ != "GET" && http_.method_ != "HEAD";
   }
   result_.stages_ = {std::move(stage)};
@@ -173,14 +175,14 @@
   const JsonValue* model = body->Find("model");
   const JsonValue* messages = body->Find("messages");
   if (model == nullptr || !model->IsString()) {
-    return Fail(RefusalReason::kMalformedRequest, "model must be a text");
+    return Fail(RefusalReason::kMalformedRequest, "model must be a string");
   }
   if (messages == nullptr || !messages->IsArray() ||
       messages->items().empty()) {
     return Fail(RefusalReason::kMalformedRequest,
-                "messages must be an array with one message at least");
+                "messages must be a non-empty array");
   }
-  return TakePipeline(model->AsString()) && ReadMessages(*messages) &&
+  return SelectPipeline(model->AsString()) && ReadMessages(*messages) &&
          ReadOptions(*body);
 }
 
@@ -192,7 +194,7 @@
     if (role == nullptr || !role->IsString() || content == nullptr ||
         !content->IsString()) {
       return Fail(RefusalReason::kMalformedRequest,
-                  "each message needs role and content, both texts");
+                  "each message needs the strings role and content");
     }
     if (role->AsString() == "user") {
       result_.input_.query_ = content->AsString();
@@ -202,7 +204,7 @@
   }
   if (result_.input_.query_.empty()) {
     return Fail(RefusalReason::kMalformedRequest,
-                "messages hold no text of the user");
+                "messages contains no text with the role user");
   }
   const bool single = messages.items().size() == 1;
   result_.input_.prompt_ =
@@ -220,7 +222,7 @@
   const JsonValue* input = body->Find("input");
   if (input == nullptr || !input->IsString() || input->AsString().empty()) {
     return Fail(RefusalReason::kMalformedRequest,
-                "input must be a text that is not empty");
+                "input must be a non-empty string");
   }
   result_.input_.query_ = input->AsString();
   result_.input_.prompt_ = input->AsString();
@@ -242,7 +244,7 @@
       tokens->AsNumber() > kMaxTokensAllowed ||
       tokens->AsNumber() != std::floor(tokens->AsNumber())) {
     return Fail(RefusalReason::kMalformedRequest,
-                "max_tokens must be a whole number from 1 to 1000000");
+                "max_tokens must be an integer from 1 to 1000000");
   }
   result_.input_.max_tokens_ = static_cast<uint32_t>(tokens->AsNumber());
   return true;
@@ -285,7 +287,7 @@
   if (result_.idempotency_key_.empty()) {
     return Fail(RefusalReason::kMissingIdempotencyKey, "");
   }
-  if (!IsKeyText(result_.idempotency_key_)) {
+  if (!IsValidIdempotencyKey(result_.idempotency_key_)) {
     return Fail(RefusalReason::kMalformedRequest,
                 "Idempotency-Key must be 1 to 128 visible ASCII characters");
   }
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -32,10 +32,10 @@
 namespace asio = boost::asio;
 
 constexpr std::chrono::milliseconds kFlushInterval{200};
-constexpr std::chrono::milliseconds kDrainPoll{10};
-/// For the connections to close after the last answer.
-constexpr std::chrono::seconds kCloseLimit{2};
-constexpr std::chrono::seconds kLastFlushLimit{5};
+constexpr std::chrono::milliseconds kDrainPollInterval{10};
+/// How long connections may take to close after the last response.
+constexpr std::chrono::seconds kConnectionCloseTimeout{2};
+constexpr std::chrono::seconds kFinalFlushTimeout{5};
 
 RouterOptions MakeRouterOptions(const GatewayOptions& options) {
   RouterOptions router;
@@ -43,7 +43,7 @@
   return router;
 }
 
-/// One thread with what it alone touches.
+/// One thread and the state that only this thread uses.
 struct Shard {
   explicit Shard(const StageLimits& limits)
       : io_(1), work_(asio::make_work_guard(io_)), client_(&io_, limits) {}
@@ -84,7 +84,7 @@
     listener_ = MakeListener();
   }
 
-  /// The listener's socket belongs to a shard's io_context.
+  /// Destroys the listener before the shards, whose io_context its socket uses.
   ~Impl() { listener_.reset(); }
 
   bool Start(Error* error) {
@@ -105,7 +105,8 @@
     if (config->version_ <= state_.config_version()) {
       return false;
     }
-    // Pools and limits first: a request finds all that its version names.
+    // Pools and limits come first, so that a request that reads the new version
+    // finds everything it refers to.
     const TimePoint now = SteadyNow();
     pools_.Update(*config, now);
     admission_.Update(*config, now);
@@ -151,9 +152,10 @@
   RefusalWriter refusals_;
   UsageMeter usage_;
   std::unique_ptr<CallerService> service_;
-  // Handlers that were cut off end with the shards and refer to the service.
+  // Destroyed before the service: destroying the shards ends the handlers that
+  // were aborted, and these still refer to the service.
   std::vector<std::unique_ptr<Shard>> shards_;
-  // Its acceptor belongs to a shard's io_context, so it has to go first.
+  // Destroyed before the shards, whose io_context its acceptor uses.
   std::unique_ptr<HttpListener> listener_;
 
  private:
@@ -258,7 +260,8 @@
     }
   }
 
-  /// Sends refusals until the shutdown, then takes its steps.
+  /// Body of the maintenance thread: flushes refusals until the shutdown
+  /// begins, then drains.
   void Maintain() {
     std::unique_lock lock(stop_mutex_);
     while (!stopping_) {
@@ -272,7 +275,7 @@
     Drain();
   }
 
-  /// Returns whether nothing waits any more.
+  /// Returns whether no refusal is left to send.
   bool FlushRefusals() {
     const bool empty = !hooks_.report_refusals_ || backlog_.Flush();
     const uint64_t dropped = backlog_.dropped();
@@ -284,17 +287,18 @@
   }
 
   void Drain() {
-    Log("draining: not ready, new work is still taken");
+    Log("draining: reporting not ready, still accepting new requests");
     std::this_thread::sleep_for(options_.drain_notice_);
     state_.RefuseNewWork();
-    Log("draining: new work is refused");
+    Log("draining: refusing new requests");
     cut_off_ = !WaitUntil(options_.drain_limit_,
                           [this] { return listener_->active_requests() == 0; });
     listener_->StopAccepting();
-    WaitUntil(kCloseLimit, [this] { return listener_->connections() == 0; });
-    WaitUntil(kLastFlushLimit, [this] { return FlushRefusals(); });
-    Log(cut_off_ ? "stopped; work was cut off at the drain limit"
-                 : "stopped; no work was cut off");
+    WaitUntil(kConnectionCloseTimeout,
+              [this] { return listener_->connections() == 0; });
+    WaitUntil(kFinalFlushTimeout, [this] { return FlushRefusals(); });
+    Log(cut_off_ ? "stopped; requests in flight were aborted at the drain limit"
+                 : "stopped; no requests were aborted");
   }
 
   template <typename Condition>
@@ -304,7 +308,7 @@
       if (SteadyNow() >= end) {
         return false;
       }
-      std::this_thread::sleep_for(kDrainPoll);
+      std::this_thread::sleep_for(kDrainPollInterval);
     }
     return true;
   }
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -7,9 +7,10 @@
 namespace citronlane {
 namespace {
 
-/// Whether the caller could have had an answer; a fault of its own misses no
-/// target.
-bool IsSystemsDoing(RefusalReason reason) {
+/// Whether a refusal counts as a missed target of the class. It doesn't if the
+/// caller caused it: a bad request (1xx), its account (2xx) or its idempotency
+/// key (6xx).
+bool CountsAsMissedTarget(RefusalReason reason) {
   constexpr int kGroupSize = 100;
   switch (static_cast<int>(reason) / kGroupSize) {
     case 1:
@@ -70,10 +71,10 @@
 }
 
 void GatewayMetrics::OnRequest(const RequestSummary& summary) {
-  const std::string_view outcome = summary.whole_ ? "answered" : "failed";
+  const std::string_view outcome = summary.complete_ ? "answered" : "failed";
   metrics_->Count(kRequestsTotal,
                   {summary.class_name_, summary.account_, outcome});
-  if (summary.whole_) {
+  if (summary.complete_) {
     metrics_->Observe(kRequestSeconds, {summary.class_name_},
                       summary.answer_time_);
   }
@@ -86,8 +87,8 @@
 }
 
 void GatewayMetrics::CountTarget(const RequestSummary& summary) {
-  // A caller that goes away decides so itself: no target is missed.
-  if (!summary.whole_ && summary.reason_ == RefusalReason::kCallerGone) {
+  // A caller that disconnects has neither met nor missed its target.
+  if (!summary.complete_ && summary.reason_ == RefusalReason::kCallerGone) {
     return;
   }
   metrics_->Count(summary.met_target_ ? kTargetsMetTotal : kTargetsMissedTotal,
@@ -116,7 +117,7 @@
   }
   metrics_->Count(kRequestsTotal,
                   {entry.class_name_, entry.account_, "refused"});
-  if (IsSystemsDoing(entry.reason_)) {
+  if (CountsAsMissedTarget(entry.reason_)) {
     metrics_->Count(kTargetsMissedTotal, {entry.class_name_, entry.account_});
   }
 }
--- a/src/gateway/gateway_run.cc
+++ b/src/gateway/gateway_run.cc
@@ -57,7 +57,7 @@
     control->Stop();
   }
   if (!whole) {
-    error->message_ = "work was cut off at the drain limit";
+    error->message_ = "requests in flight were aborted at the drain limit";
   }
   return whole;
 }
--- a/src/gateway/pool_shard.cc
+++ b/src/gateway/pool_shard.cc
@@ -5,8 +5,8 @@
 namespace citronlane {
 namespace {
 
-/// Extra calls that may be made at once after a quiet time.
-constexpr double kBudgetBurst = 10;
+/// Retries that the budget can accumulate for a burst.
+constexpr double kRetryBudgetBurst = 10;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
               options,
               [this](uint64_t bound) { return random_() % bound; }),
       hedges_(hedge_ratio),
-      retries_(retry_ratio, kBudgetBurst),
+      retries_(retry_ratio, kRetryBudgetBurst),
       servers_(pool.servers_.begin(), pool.servers_.end()) {}
 
 void PoolShard::Update(const PoolConfig& pool, TimePoint now) {
@@ -47,17 +47,17 @@
     hedges_.OnFirstCall();
     retries_.Earn();
   }
-  return Started(choice->server_, now, call);
+  return StartOn(choice->server_, now, call);
 }
 
 std::optional<ServerConfig> PoolShard::PlaceOn(std::string_view server,
                                                TimePoint now,
                                                const CallShape& call) {
   const std::lock_guard lock(mutex_);
-  return Started(std::string(server), now, call);
+  return StartOn(std::string(server), now, call);
 }
 
-std::optional<ServerConfig> PoolShard::Started(const std::string& server,
+std::optional<ServerConfig> PoolShard::StartOn(const std::string& server,
                                                TimePoint now,
                                                const CallShape& call) {
   const auto found = servers_.find(server);
--- a/src/gateway/refusal_backlog.cc
+++ b/src/gateway/refusal_backlog.cc
@@ -9,8 +9,8 @@
 
 constexpr size_t kBatchSize = 256;
 
-/// The request itself or its client account was wrong: reasons 1xx and 2xx.
-bool IsCallersFault(RefusalReason reason) {
+/// Whether the request or its client account was invalid: reasons 1xx and 2xx.
+bool IsCallerError(RefusalReason reason) {
   return reason < RefusalReason::kDeadlineUnreachable;
 }
 
@@ -21,8 +21,8 @@
 
 void RefusalBacklog::Add(const RefusalEntry& entry) {
   const std::lock_guard lock(mutex_);
-  if (IsCallersFault(entry.reason_) && entries_.size() >= bound_ / 2) {
-    // A flood of bad input must not push out refusals that were ours.
+  if (IsCallerError(entry.reason_) && entries_.size() >= bound_ / 2) {
+    // A flood of invalid requests must not displace the other refusals.
     ++dropped_unsent_;
     ++dropped_total_;
     return;
--- a/src/gateway/refusal_writer.cc
+++ b/src/gateway/refusal_writer.cc
@@ -14,11 +14,12 @@
 
 using std::chrono::milliseconds;
 
-/// For reasons that pass by themselves and name no time of their own.
+/// For transient reasons that specify no retry time.
 constexpr milliseconds kDefaultRetryAfter{500};
 constexpr int64_t kMillisecondsPerSecond = 1000;
 
-bool PassesByItself(RefusalReason reason) {
+/// Whether the same request may succeed later without any change.
+bool IsTransient(RefusalReason reason) {
   switch (reason) {
     case RefusalReason::kTooManyConnections:
     case RefusalReason::kBodyMemoryExhausted:
@@ -40,10 +41,10 @@
   }
 }
 
-JsonValue ProblemOf(const RefusalEntry& entry,
-                    std::string_view detail,
-                    int64_t retry_after_ms,
-                    std::string_view signature) {
+JsonValue MakeProblem(const RefusalEntry& entry,
+                      std::string_view detail,
+                      int64_t retry_after_ms,
+                      std::string_view signature) {
   const std::string name(ToString(entry.reason_));
   JsonValue body = JsonValue::Object();
   const auto text = [&body](const char* key, std::string_view value) {
@@ -93,7 +94,7 @@
   const RefusalEntry entry = MakeEntry(context, refusal, verdict);
   sink_(entry, context.admitted_);
   const int64_t retry_after_ms =
-      std::chrono::duration_cast<milliseconds>(SpreadRetryAfter(refusal))
+      std::chrono::duration_cast<milliseconds>(JitterRetryAfter(refusal))
           .count();
   HttpReply reply;
   reply.status_ = HttpStatus(refusal.reason_);
@@ -110,8 +111,8 @@
         (retry_after_ms + kMillisecondsPerSecond - 1) / kMillisecondsPerSecond;
     reply.headers_.push_back({"Retry-After", std::to_string(seconds)});
   }
-  reply.body_ = WriteJson(ProblemOf(entry, detail, retry_after_ms,
-                                    SignReceipt(entry, receipt_key_)));
+  reply.body_ = WriteJson(MakeProblem(entry, detail, retry_after_ms,
+                                      SignReceipt(entry, receipt_key_)));
   return reply;
 }
 
@@ -132,15 +133,16 @@
   return entry;
 }
 
-Duration RefusalWriter::SpreadRetryAfter(const Refusal& refusal) {
+Duration RefusalWriter::JitterRetryAfter(const Refusal& refusal) {
   Duration base = refusal.retry_after_;
   if (base <= Duration(0)) {
-    if (!PassesByItself(refusal.reason_)) {
+    if (!IsTransient(refusal.reason_)) {
       return Duration(0);
     }
     base = kDefaultRetryAfter;
   }
-  // Callers refused together come back over as long a time again.
+  // Up to the same time is added at random, so that callers that were refused
+  // together don't retry together.
   const std::lock_guard lock(mutex_);
   std::uniform_int_distribution<int64_t> extra(0, base.count());
   return base + Duration(extra(random_));
--- a/src/gateway/request_claim.cc
+++ b/src/gateway/request_claim.cc
@@ -16,20 +16,23 @@
 
 namespace asio = boost::asio;
 
-/// How long an answer is held back until control has stored it.
-constexpr std::chrono::seconds kFinishWait{2};
+/// How long a response is delayed until the control VMs have stored it.
+constexpr std::chrono::seconds kFinishTimeout{2};
 
-/// What control answered, handed from its thread to the connection's.
+/// Reply of the control VMs, passed from the thread of the hook to the thread
+/// of the connection.
 template <typename Answer>
 struct Pending {
   explicit Pending(HttpExchange* exchange) : exchange_(exchange) {}
 
   bool done_ = false;
   Answer answer_{};
-  /// Null once nobody waits any more.
+  /// Null once the handler has stopped waiting.
   HttpExchange* exchange_;
 };
 
+/// Returns a callback for any thread that stores the reply on the thread of
+/// `io` and wakes the handler.
 template <typename Answer>
 std::function<void(Answer)> Deliver(asio::io_context* io,
                                     std::shared_ptr<Pending<Answer>> pending) {
@@ -76,7 +79,7 @@
   auto pending = std::make_shared<Pending<bool>>(exchange_);
   hooks_->finish_claim_(query_, answer, Deliver(io_, pending));
   bool late = false;
-  asio::steady_timer timer(*io_, kFinishWait);
+  asio::steady_timer timer(*io_, kFinishTimeout);
   timer.async_wait([&late, pending](const boost::system::error_code& error) {
     if (!error && pending->exchange_ != nullptr) {
       late = true;
--- a/src/gateway/request_driver.cc
+++ b/src/gateway/request_driver.cc
@@ -50,10 +50,10 @@
       deadline_timer_(*context_->io_) {}
 
 RequestDriver::~RequestDriver() {
-  ReleasePlanned(planned_.size());
+  ReleasePlannedCalls(planned_.size());
 }
 
-void RequestDriver::PlanStages() {
+void RequestDriver::RegisterPlannedCalls() {
   planned_ = pools_;
   for (const auto& pool : planned_) {
     if (pool != nullptr) {
@@ -62,7 +62,7 @@
   }
 }
 
-void RequestDriver::ReleasePlanned(size_t end) {
+void RequestDriver::ReleasePlannedCalls(size_t end) {
   for (size_t stage = 0; stage < std::min(end, planned_.size()); ++stage) {
     if (const auto pool = std::exchange(planned_[stage], nullptr)) {
       pool->OnPlanned(-1);
@@ -78,7 +78,7 @@
 
 bool RequestDriver::TakeRetry(uint32_t stage, RetryReason reason) {
   const auto& pool = pools_[stage];
-  // A resumed stream makes no new work.
+  // Resuming a stream causes no additional work, so it needs no budget.
   const bool taken =
       pool != nullptr &&
       (reason == RetryReason::kStreamResumed || pool->TakeRetry());
@@ -91,13 +91,13 @@
 HedgeQuery RequestDriver::MakeHedgeQuery(const PoolShard& pool) const {
   HedgeQuery query;
   query.batch_ = job_.input_.batch_;
-  if (flights_.empty()) {
+  if (in_flight_calls_.empty()) {
     return query;
   }
-  const detail::CallFlight& slow = *flights_.front();
+  const detail::InFlightCall& slow = *in_flight_calls_.front();
   const TimePoint now = SteadyNow();
   query.elapsed_ = now - slow.started_;
-  // The timer that asks was set to the delay.
+  // The hedge timer that led here has just expired after the delay.
   query.delay_ = query.elapsed_;
   query.expected_ = pool.Estimate(now, slow.shape_).first_byte_;
   query.remaining_ = slow.deadline_ - now;
@@ -113,7 +113,7 @@
           self->Pump();
         }
       });
-  PlanStages();
+  RegisterPlannedCalls();
   request_.Start(SteadyNow());
   Pump();
 }
@@ -167,35 +167,35 @@
   }
   if (command.attempt_.stage_ == stage_starts_.size()) {
     stage_starts_.push_back(SteadyNow());
-    ReleasePlanned(command.attempt_.stage_ + 1);
+    ReleasePlannedCalls(command.attempt_.stage_ + 1);
   }
-  const FlightPtr flight = Place(command);
-  if (flight == nullptr) {
+  const InFlightCallPtr call = Place(command);
+  if (call == nullptr) {
     request_.OnNoServer(command.attempt_, SteadyNow());
     return;
   }
-  request_.OnPlaced(command.attempt_, flight->server_.id_);
-  Launch(flight, command);
+  request_.OnPlaced(command.attempt_, call->server_.id_);
+  Launch(call, command);
 }
 
 void RequestDriver::Execute(const CancelCall& command) {
-  if (const FlightPtr flight = FindFlight(command.attempt_)) {
-    flight->call_->Cancel();
-    EndFlight(flight, CallOutcome::kCancelled);
+  if (const InFlightCallPtr call = FindCall(command.attempt_)) {
+    call->stage_call_->Cancel();
+    CompleteCall(call, CallOutcome::kCancelled);
   }
 }
 
 void RequestDriver::Execute(const ArmHedge& command) {
-  const FlightPtr flight = FindFlight(command.attempt_);
-  if (flight == nullptr) {
+  const InFlightCallPtr call = FindCall(command.attempt_);
+  if (call == nullptr) {
     return;
   }
-  const auto delay = flight->pool_->HedgeDelay(flight->shape_);
+  const auto delay = call->pool_->HedgeDelay(call->shape_);
   if (!delay) {
     return;
   }
-  flight->hedge_timer_.expires_at(flight->started_ + *delay);
-  flight->hedge_timer_.async_wait(
+  call->hedge_timer_.expires_at(call->started_ + *delay);
+  call->hedge_timer_.async_wait(
       [self = shared_from_this(),
        id = command.attempt_](const boost::system::error_code& error) {
         if (!error) {
@@ -216,72 +216,71 @@
 
 void RequestDriver::Execute(const FinishRequest& command) {
   deadline_timer_.cancel();
-  ReleasePlanned(planned_.size());
+  ReleasePlannedCalls(planned_.size());
   job_.on_finish_(command);
 }
 
-RequestDriver::FlightPtr RequestDriver::Place(const StartCall& command) {
+RequestDriver::InFlightCallPtr RequestDriver::Place(const StartCall& command) {
   const uint32_t stage = command.attempt_.stage_;
   const StageConfig& config = job_.stages_[stage];
-  auto flight = std::make_shared<detail::CallFlight>(context_->io_);
-  flight->id_ = command.attempt_;
-  flight->hedge_ = command.hedge_;
-  flight->pool_name_ = config.pool_;
-  flight->pool_ = pools_[stage];
-  if (flight->pool_ == nullptr) {
+  auto call = std::make_shared<detail::InFlightCall>(context_->io_);
+  call->id_ = command.attempt_;
+  call->hedge_ = command.hedge_;
+  call->pool_name_ = config.pool_;
+  call->pool_ = pools_[stage];
+  if (call->pool_ == nullptr) {
     return nullptr;
   }
-  flight->shape_.batch_ = job_.input_.batch_;
-  flight->shape_.priority_ = job_.input_.priority_;
+  call->shape_.batch_ = job_.input_.batch_;
+  call->shape_.priority_ = job_.input_.priority_;
   if (job_.plan_.stages_[stage].streams_) {
-    flight->shape_.expected_tokens_ = config.max_tokens_;
-    flight->shape_.prefix_hash_ = PrefixHash();
+    call->shape_.expected_tokens_ = config.max_tokens_;
+    call->shape_.prefix_hash_ = PrefixHash();
   }
-  flight->started_ = SteadyNow();
-  flight->deadline_ = AttemptDeadline(stage);
+  call->started_ = SteadyNow();
+  call->deadline_ = AttemptDeadline(stage);
   const auto server =
       command.mode_ == CallMode::kResume
-          ? flight->pool_->PlaceOn(command.server_, flight->started_,
-                                   flight->shape_)
-          : flight->pool_->Place(flight->started_, flight->shape_,
-                                 command.excluded_, !command.hedge_);
+          ? call->pool_->PlaceOn(command.server_, call->started_, call->shape_)
+          : call->pool_->Place(call->started_, call->shape_, command.excluded_,
+                               !command.hedge_);
   if (!server) {
     return nullptr;
   }
-  flight->server_ = *server;
-  return flight;
+  call->server_ = *server;
+  return call;
 }
 
-void RequestDriver::Launch(const FlightPtr& flight, const StartCall& command) {
+void RequestDriver::Launch(const InFlightCallPtr& call,
+                           const StartCall& command) {
   const auto self = shared_from_this();
   StageCallHooks hooks;
-  hooks.sending_ = [self, flight] {
-    return self->request_.OnSending(flight->id_);
+  hooks.sending_ = [self, call] { return self->request_.OnSending(call->id_); };
+  hooks.head_ = [self, call](const StageReplyHead& head) {
+    return self->OnHead(call, head);
   };
-  hooks.head_ = [self, flight](const StageReplyHead& head) {
-    return self->OnHead(flight, head);
+  hooks.done_ = [self, call](CallOutcome outcome, std::string body) {
+    self->OnDone(call, outcome, std::move(body));
   };
-  hooks.done_ = [self, flight](CallOutcome outcome, std::string body) {
-    self->OnDone(flight, outcome, std::move(body));
-  };
-  StageCallSpec spec = MakeSpec(*flight, command);
+  StageCallSpec spec = MakeSpec(*call, command);
   if (spec.streams_) {
-    hooks.data_ = [self, flight](std::string_view piece) {
-      self->OnData(flight, piece);
+    hooks.data_ = [self, call](std::string_view piece) {
+      self->OnData(call, piece);
     };
-    flight->reader_ = std::make_unique<StageTokenReader>(
-        kMaxEventBytes, [this, raw = std::weak_ptr<detail::CallFlight>(flight)](
+    call->reader_ = std::make_unique<StageTokenReader>(
+        kMaxEventBytes, [this, raw = std::weak_ptr<detail::InFlightCall>(call)](
                             const Token& token) {
-          const FlightPtr alive = raw.lock();
+          const InFlightCallPtr alive = raw.lock();
           return alive != nullptr && OnToken(alive, token);
         });
   }
-  flights_.push_back(flight);
-  flight->call_ = context_->client_->Start(std::move(spec), std::move(hooks));
+  in_flight_calls_.push_back(call);
+  call->stage_call_ =
+      context_->client_->Start(std::move(spec), std::move(hooks));
 }
 
 uint64_t RequestDriver::PrefixHash() const {
-  // The engine's prompt begins with the context: the documents in their order.
+  // The engine's prompt begins with the documents, in their order.
   std::string prefix;
   if (request_.output().documents_) {
     for (const Document& document : *request_.output().documents_) {
@@ -291,20 +290,20 @@
   return prefix.empty() ? 0 : XXH3_64bits(prefix.data(), prefix.size());
 }
 
-StageCallSpec RequestDriver::MakeSpec(const detail::CallFlight& flight,
+StageCallSpec RequestDriver::MakeSpec(const detail::InFlightCall& call,
                                       const StartCall& command) const {
   const uint32_t stage = command.attempt_.stage_;
   StageCallSpec spec;
-  spec.address_ = flight.server_.address_;
-  spec.port_ = flight.server_.port_;
+  spec.address_ = call.server_.address_;
+  spec.port_ = call.server_.port_;
   spec.fresh_connection_ = job_.plan_.stages_[stage].non_idempotent_;
   spec.streams_ = job_.plan_.stages_[stage].streams_;
-  spec.deadline_ = flight.deadline_;
+  spec.deadline_ = call.deadline_;
   if (spec.streams_) {
-    spec.silence_limit_ = flight.pool_->StreamStallTimeout();
+    spec.silence_limit_ = call.pool_->StreamStallTimeout();
     spec.answers_at_once_ = command.mode_ == CallMode::kResume;
   }
-  const auto left = std::max(Duration(0), flight.deadline_ - flight.started_);
+  const auto left = std::max(Duration(0), call.deadline_ - call.started_);
   spec.attempt_id_ = command.attempt_.ToHeader();
   spec.headers_ = {{"X-Attempt-Id", spec.attempt_id_},
                    {"X-Deadline-Ms", std::to_string(Milliseconds(left))}};
@@ -345,7 +344,8 @@
         pool == nullptr ? std::nullopt : pool->LatencyQuantile(kMedian);
     later += median.value_or(Duration(0));
   }
-  // The later stages' usual time is kept for them, but never over half.
+  // The median time of the later stages is reserved for them, up to half of the
+  // time left.
   return now + left - std::min(later, left / 2);
 }
 
@@ -353,31 +353,33 @@
   return job_.config_->pools_.at(job_.stages_[stage].pool_);
 }
 
-void RequestDriver::EndFlight(const FlightPtr& flight, CallOutcome outcome) {
-  if (flight->ended_) {
+void RequestDriver::CompleteCall(const InFlightCallPtr& call,
+                                 CallOutcome outcome) {
+  if (call->ended_) {
     return;
   }
-  flight->ended_ = true;
-  flight->hedge_timer_.cancel();
+  call->ended_ = true;
+  call->hedge_timer_.cancel();
   const TimePoint now = SteadyNow();
-  const Duration latency = now - flight->started_;
-  flight->pool_->OnFinish(flight->server_.id_, now, outcome, latency,
-                          flight->tokens_, flight->shape_);
-  context_->on_call_(flight->pool_name_, outcome, latency, flight->tokens_,
-                     flight->pool_->in_flight());
-  if (flight->hedge_) {
-    context_->on_hedge_(flight->pool_name_, outcome == CallOutcome::kSuccess);
+  const Duration latency = now - call->started_;
+  call->pool_->OnFinish(call->server_.id_, now, outcome, latency, call->tokens_,
+                        call->shape_);
+  context_->on_call_(call->pool_name_, outcome, latency, call->tokens_,
+                     call->pool_->in_flight());
+  if (call->hedge_) {
+    context_->on_hedge_(call->pool_name_, outcome == CallOutcome::kSuccess);
   }
-  flights_.erase(std::remove(flights_.begin(), flights_.end(), flight),
-                 flights_.end());
+  in_flight_calls_.erase(
+      std::remove(in_flight_calls_.begin(), in_flight_calls_.end(), call),
+      in_flight_calls_.end());
 }
 
-RequestDriver::FlightPtr RequestDriver::FindFlight(
+RequestDriver::InFlightCallPtr RequestDriver::FindCall(
     const AttemptId& attempt) const {
   const auto found = std::find_if(
-      flights_.begin(), flights_.end(),
-      [&attempt](const FlightPtr& flight) { return flight->id_ == attempt; });
-  return found == flights_.end() ? nullptr : *found;
+      in_flight_calls_.begin(), in_flight_calls_.end(),
+      [&attempt](const InFlightCallPtr& call) { return call->id_ == attempt; });
+  return found == in_flight_calls_.end() ? nullptr : *found;
 }
 
 }  // namespace citronlane
--- a/src/gateway/request_driver_replies.cc
+++ b/src/gateway/request_driver_replies.cc
@@ -26,120 +26,119 @@
   return rejected ? CallOutcome::kRejected : CallOutcome::kServerError;
 }
 
-/// Whether a header of a service's reply is for the caller, not for the
-/// connection or the gateway.
-bool IsPassedOn(std::string_view name) {
-  constexpr std::string_view kKept[] = {
+/// Whether a header of a service's reply is forwarded to the caller.
+bool IsForwardedHeader(std::string_view name) {
+  constexpr std::string_view kForwarded[] = {
       "Cache-Control", "Content-Language", "ETag", "Last-Modified",
       "Location",      "Retry-After",      "Vary"};
-  return std::any_of(std::begin(kKept), std::end(kKept),
-                     [name](std::string_view kept) {
-                       return detail::SameHeaderName(kept, name);
+  return std::any_of(std::begin(kForwarded), std::end(kForwarded),
+                     [name](std::string_view forwarded) {
+                       return detail::SameHeaderName(forwarded, name);
                      });
 }
 
 }  // namespace
 
-bool RequestDriver::OnHead(const FlightPtr& flight,
+bool RequestDriver::OnHead(const InFlightCallPtr& call,
                            const StageReplyHead& head) {
   const TimePoint now = SteadyNow();
   if (head.load_) {
-    flight->pool_->OnLoadReport(flight->server_.id_, now, head.load_age_,
-                                *head.load_);
+    call->pool_->OnLoadReport(call->server_.id_, now, head.load_age_,
+                              *head.load_);
   }
   if (head.draining_) {
-    context_->on_leaving_(flight->server_.id_);
+    context_->on_leaving_(call->server_.id_);
   }
-  flight->head_ = head;
-  if (!flight->reader_) {
+  call->head_ = head;
+  if (!call->reader_) {
     return true;
   }
   if (head.status_ != kStatusOk) {
-    FailFlight(flight, OutcomeOfStatus(head.status_));
+    FailCall(call, OutcomeOfStatus(head.status_));
     return false;
   }
-  const bool accepted =
-      request_.OnStreamHead(flight->id_, head.echoed_id_, now);
-  ReportDrops(flight);
+  const bool accepted = request_.OnStreamHead(call->id_, head.echoed_id_, now);
+  ReportDrops(call);
   if (!accepted) {
-    EndFlight(flight, CallOutcome::kWrongId);
+    CompleteCall(call, CallOutcome::kWrongId);
     Pump();
   }
   return accepted;
 }
 
-void RequestDriver::OnData(const FlightPtr& flight, std::string_view piece) {
-  const bool usable = flight->reader_->Feed(piece);
-  if (!usable && !flight->ended_) {
-    flight->call_->Cancel();
-    FailFlight(flight, CallOutcome::kServerError);
+void RequestDriver::OnData(const InFlightCallPtr& call,
+                           std::string_view piece) {
+  const bool usable = call->reader_->Feed(piece);
+  if (!usable && !call->ended_) {
+    call->stage_call_->Cancel();
+    FailCall(call, CallOutcome::kServerError);
   }
 }
 
-bool RequestDriver::OnToken(const FlightPtr& flight, const Token& token) {
+bool RequestDriver::OnToken(const InFlightCallPtr& call, const Token& token) {
   const TimePoint now = SteadyNow();
-  if (flight->ended_) {
+  if (call->ended_) {
     return true;
   }
-  if (!flight->first_byte_) {
-    flight->first_byte_ = true;
-    flight->pool_->OnFirstByte(flight->server_.id_, now,
-                               now - flight->started_);
+  if (!call->first_byte_) {
+    call->first_byte_ = true;
+    call->pool_->OnFirstByte(call->server_.id_, now, now - call->started_);
   }
-  ++flight->tokens_;
-  request_.OnToken(flight->id_, token, now);
-  ReportDrops(flight);
-  if (request_.finished() || request_.stage() != flight->id_.stage_) {
-    EndFlight(flight, CallOutcome::kSuccess);
+  ++call->tokens_;
+  request_.OnToken(call->id_, token, now);
+  ReportDrops(call);
+  if (request_.finished() || request_.stage() != call->id_.stage_) {
+    CompleteCall(call, CallOutcome::kSuccess);
   }
   Pump();
   return true;
 }
 
-void RequestDriver::OnDone(const FlightPtr& flight,
+void RequestDriver::OnDone(const InFlightCallPtr& call,
                            CallOutcome outcome,
                            std::string body) {
-  if (flight->ended_) {
+  if (call->ended_) {
     return;
   }
   if (outcome != CallOutcome::kSuccess) {
-    FailFlight(flight, outcome);
-  } else if (flight->reader_) {
-    // The stream ended without its last token.
-    FailFlight(flight, CallOutcome::kClosedAfterSend);
+    FailCall(call, outcome);
+  } else if (call->reader_) {
+    // The stream ended before the token that finishes the stage.
+    FailCall(call, CallOutcome::kClosedAfterSend);
   } else if (job_.service_call_) {
-    TakeServiceReply(flight, std::move(body));
+    HandleServiceReply(call, std::move(body));
   } else {
-    TakeReply(flight, body);
+    HandleReply(call, body);
   }
 }
 
-void RequestDriver::TakeReply(const FlightPtr& flight, std::string_view body) {
-  if (flight->head_.status_ != kStatusOk) {
-    FailFlight(flight, OutcomeOfStatus(flight->head_.status_));
+void RequestDriver::HandleReply(const InFlightCallPtr& call,
+                                std::string_view body) {
+  if (call->head_.status_ != kStatusOk) {
+    FailCall(call, OutcomeOfStatus(call->head_.status_));
     return;
   }
   Error error;
-  const uint32_t stage = flight->id_.stage_;
+  const uint32_t stage = call->id_.stage_;
   auto output = StageAdapter(PoolOf(stage).kind_)
                     .ReadReply(body, request_.output(), &error);
   if (!output) {
-    FailFlight(flight, CallOutcome::kServerError);
+    FailCall(call, CallOutcome::kServerError);
     return;
   }
-  const bool own = flight->head_.echoed_id_ == flight->id_.ToHeader();
-  EndFlight(flight, own ? CallOutcome::kSuccess : CallOutcome::kWrongId);
+  const bool own = call->head_.echoed_id_ == call->id_.ToHeader();
+  CompleteCall(call, own ? CallOutcome::kSuccess : CallOutcome::kWrongId);
   request_.OnResult(
-      StageResult{flight->id_, flight->head_.echoed_id_, *std::move(output)},
+      StageResult{call->id_, call->head_.echoed_id_, *std::move(output)},
       SteadyNow());
-  ReportDrops(flight);
+  ReportDrops(call);
   Pump();
 }
 
-void RequestDriver::TakeServiceReply(const FlightPtr& flight,
-                                     std::string body) {
-  const StagePlan& plan = job_.plan_.stages_[flight->id_.stage_];
-  const int status = flight->head_.status_;
+void RequestDriver::HandleServiceReply(const InFlightCallPtr& call,
+                                       std::string body) {
+  const StagePlan& plan = job_.plan_.stages_[call->id_.stage_];
+  const int status = call->head_.status_;
   const bool rejected =
       OutcomeOfStatus(status) == CallOutcome::kRejected &&
       (!plan.non_idempotent_ || plan.rejection_means_not_run_);
@@ -147,51 +146,50 @@
       !plan.non_idempotent_ &&
       (status == kStatusBadGateway || status == kStatusGatewayTimeout);
   if (rejected || failed) {
-    FailFlight(flight, OutcomeOfStatus(status));
+    FailCall(call, OutcomeOfStatus(status));
     return;
   }
-  // A plain service need not echo the id; a wrong one is an error. One that did
-  // so far, and so had its connection kept, always does: a reply without it is
-  // a late one to an earlier call.
-  const std::string own_id = flight->id_.ToHeader();
-  std::string echoed = flight->head_.echoed_id_;
-  if (echoed.empty() && !flight->head_.kept_connection_) {
+  // A plain service doesn't have to echo the attempt id, but a wrong id is an
+  // error. A connection is kept only after a reply that echoed the id, so a
+  // reply without it on a kept connection is a late reply to an earlier call.
+  const std::string own_id = call->id_.ToHeader();
+  std::string echoed = call->head_.echoed_id_;
+  if (echoed.empty() && !call->head_.kept_connection_) {
     echoed = own_id;
   }
   if (echoed == own_id) {
     HttpReply reply;
     reply.status_ = status;
     reply.content_type_.clear();
-    for (const HttpHeader& header : flight->head_.headers_) {
+    for (const HttpHeader& header : call->head_.headers_) {
       if (detail::SameHeaderName(header.name_, "Content-Type")) {
         reply.content_type_ = header.value_;
-      } else if (IsPassedOn(header.name_)) {
+      } else if (IsForwardedHeader(header.name_)) {
         reply.headers_.push_back(header);
       }
     }
     reply.body_ = std::move(body);
     service_reply_ = std::move(reply);
   }
-  EndFlight(flight,
-            echoed == own_id ? CallOutcome::kSuccess : CallOutcome::kWrongId);
-  request_.OnResult(StageResult{flight->id_, std::move(echoed), {}},
-                    SteadyNow());
-  ReportDrops(flight);
+  CompleteCall(
+      call, echoed == own_id ? CallOutcome::kSuccess : CallOutcome::kWrongId);
+  request_.OnResult(StageResult{call->id_, std::move(echoed), {}}, SteadyNow());
+  ReportDrops(call);
   Pump();
 }
 
-void RequestDriver::FailFlight(const FlightPtr& flight, CallOutcome outcome) {
-  EndFlight(flight, outcome);
-  request_.OnFailure(flight->id_, outcome, SteadyNow());
+void RequestDriver::FailCall(const InFlightCallPtr& call, CallOutcome outcome) {
+  CompleteCall(call, outcome);
+  request_.OnFailure(call->id_, outcome, SteadyNow());
   Pump();
 }
 
-void RequestDriver::ReportDrops(const FlightPtr& flight) {
+void RequestDriver::ReportDrops(const InFlightCallPtr& call) {
   const RequestCounters& now = request_.counters();
   const auto report = [&](uint32_t count, uint32_t* known,
                           std::string_view why) {
     for (; *known < count; ++*known) {
-      context_->on_drop_(flight->pool_name_, why);
+      context_->on_drop_(call->pool_name_, why);
     }
   };
   report(now.late_results_, &reported_.late_results_, "late");
--- a/tests/gateway_harness.h
+++ b/tests/gateway_harness.h
@@ -71,7 +71,7 @@
   return response;
 }
 
-/// The fake backend servers in a process of their own.
+/// Runs the fake backend servers as a child process.
 class Fakes {
  public:
   Fakes() {
@@ -112,7 +112,8 @@
             200);
   }
 
-  /// Calls that reached a server of the pool; only those that ran, if asked.
+  /// Number of calls that reached servers of the pool; with `ran`, only those
+  /// that were executed.
   size_t Calls(const std::string& pool, bool ran = true) {
     const auto port = static_cast<uint16_t>(ports_.Find("control")->AsNumber());
     Fault fault;
@@ -191,7 +192,7 @@
   return std::make_shared<const ClusterConfig>(*std::move(config));
 }
 
-/// What the fake engines answer to a question.
+/// The text that the fake engines return for a question.
 inline std::string AnswerTo(const std::string& question) {
   std::string text;
   for (int i = 0; i < 8; ++i) {
@@ -213,7 +214,7 @@
   return Json(response.body()).Find("text")->AsString();
 }
 
-/// Number and verdict of a refusal: "301 not_run".
+/// Reason number and verdict of a refusal, such as "301 not_run".
 inline std::string RefusalOf(const std::string& body) {
   const JsonValue problem = Json(body);
   return std::to_string(static_cast<int>(problem.Find("reason")->AsNumber())) +
--- a/tests/unit-gateway-lifecycle.cc
+++ b/tests/unit-gateway-lifecycle.cc
@@ -7,7 +7,7 @@
 
 namespace citronlane {
 
-TEST_CASE("gateway whose lease lapsed") {
+TEST_CASE("gateway without a configuration or a lease refuses requests") {
   Fakes fakes;
   Gateway gateway(TestOptions(), {});
   Error error;
@@ -32,7 +32,7 @@
   CHECK(gateway.Wait());
 }
 
-TEST_CASE("gateway on an address in use says so") {
+TEST_CASE("gateway reports an address in use") {
   Fakes fakes;
   Running running(fakes);
   GatewayOptions options = TestOptions();
@@ -43,7 +43,7 @@
   CHECK(error.message_.find("can't listen on 127.0.0.1:") == 0);
 }
 
-TEST_CASE("gateway ends work under the configuration it began with") {
+TEST_CASE("gateway serves a request with the configuration it started with") {
   Fakes fakes;
   Running running(fakes);
   fakes.SetFault("retrievers", R"({"hold": true})");
@@ -73,7 +73,7 @@
   });
   REQUIRE(Eventually([&] { return fakes.Calls("engines") == 1; }));
   running.gateway_.Shutdown();
-  SECTION("is not ready, refuses new work, and cuts nothing off") {
+  SECTION("is not ready, refuses new requests and aborts none") {
     CHECK_FALSE(running.gateway_.ready());
     REQUIRE(Eventually([&] {
       const Response refused = running.Post("/v1/pipelines/none", "{}");
@@ -88,7 +88,7 @@
   CHECK(running.gateway_.Wait());
 }
 
-TEST_CASE("gateway cancels the stages of a caller that is gone") {
+TEST_CASE("gateway cancels the stage calls of a caller that disconnected") {
   Fakes fakes;
   std::atomic<int> gone{0};
   GatewayHooks hooks;
@@ -127,7 +127,7 @@
   CHECK(first.Wait());
 }
 
-TEST_CASE("gateway that cuts work off at the drain limit") {
+TEST_CASE("gateway aborts requests at the drain limit") {
   Fakes fakes;
   GatewayOptions options = TestOptions();
   options.drain_limit_ = std::chrono::milliseconds(1);
@@ -144,7 +144,7 @@
     running.gateway_.Shutdown();
     CHECK_FALSE(running.gateway_.Wait());
   }
-  // The connection ends with the gateway.
+  // The caller's connection is closed when the gateway is destroyed.
   CHECK(asked.get().count("X-Test-Cut") == 1);
 }
 
@@ -172,7 +172,7 @@
     running.gateway_.Wait();
     REQUIRE(journal.size() == 1);
     const RefusalEntry& entry = journal.front();
-    SECTION("reach the journal and can be proved by their receipt") {
+    SECTION("reach the journal and can be verified by their receipt") {
       CHECK(problem.Find("refusal_id")->AsString() == entry.id_);
       CHECK(problem.Find("receipt")->AsString() ==
             SignReceipt(entry, "receipt"));
--- a/tests/unit-gateway-reply-identity.cc
+++ b/tests/unit-gateway-reply-identity.cc
@@ -1,6 +1,7 @@
-// The other caller interface: a plain service need not name its calls. One that
-// named the call before has its connection kept, and a late second reply that
-// names none is then read where the next call's reply is expected.
+// Guards against returning another call's reply to a caller of a plain service.
+// Such a service doesn't have to echo X-Attempt-Id. After a reply that did echo
+// it, the connection is kept, and a late second reply without the header is
+// then read in place of the reply to the next call.
 
 #include <catch2/catch.hpp>
 
@@ -19,16 +20,17 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-/// Answers each call by its target, naming it; before the answer to the second
-/// call on a connection comes one without a name.
-class TwiceAnsweringService {
+/// Replies to each call with its target and attempt id. From the second call on
+/// a connection on, the reply to the previous call is sent again first, without
+/// an attempt id.
+class RepeatingService {
  public:
   uint16_t port() const { return listener_.port(); }
 
  private:
   static void Serve(tcp::socket* socket) {
     beast::flat_buffer buffer;
-    std::string before;
+    std::string previous;
     beast::error_code error;
     while (true) {
       http::request<http::string_body> request;
@@ -40,12 +42,12 @@
       const auto target = request.target();
       const std::string body =
           "answer to " + std::string(target.data(), target.size());
-      const std::string late = before.empty() ? "" : Reply("", before);
+      const std::string late = previous.empty() ? "" : Reply("", previous);
       asio::write(
           *socket,
           asio::buffer(late + Reply(std::string(id.data(), id.size()), body)),
           error);
-      before = body;
+      previous = body;
     }
   }
 
@@ -72,8 +74,8 @@
 
 }  // namespace
 
-TEST_CASE("a plain service's late second reply without a name is nobody's") {
-  TwiceAnsweringService service;
+TEST_CASE("a late second reply of a plain service without an id is discarded") {
+  RepeatingService service;
   GatewayOptions options = TestOptions();
   options.threads_ = 1;
   Gateway gateway(std::move(options), {});
--- a/tests/unit-gateway.cc
+++ b/tests/unit-gateway.cc
@@ -6,7 +6,7 @@
   Fakes fakes;
   Running running(fakes);
 
-  SECTION("a pipeline whole, with cost by stage") {
+  SECTION("a pipeline request with a complete response and cost by stage") {
     const Response response = running.Ask("which cotton?");
     CHECK(response.result_int() == 200);
     CHECK(response["X-Config-Version"] == "7");
@@ -35,7 +35,7 @@
     CHECK(response.find("X-Test-Cut") == response.end());
   }
 
-  SECTION("health, and work by its own connection") {
+  SECTION("health checks; a request for a draining server is refused") {
     CHECK(Call(running.gateway_.port(), http::verb::get, "/healthz")
               .result_int() == 200);
     CHECK(Call(running.gateway_.port(), http::verb::get, "/readyz")
@@ -46,7 +46,7 @@
   }
 }
 
-TEST_CASE("gateway refuses what it can't read, and runs nothing of it") {
+TEST_CASE("gateway refuses invalid requests and runs nothing of them") {
   Fakes fakes;
   Running running(fakes);
   const std::string good = R"({"input": "x"})";
@@ -135,7 +135,7 @@
   slow.connect({asio::ip::make_address("127.0.0.1"), running.gateway_.port()});
   asio::write(slow, asio::buffer(head + "900\r\nExpect: 100-continue\r\n\r\n"));
   char byte = 0;
-  asio::read(slow, asio::buffer(&byte, 1));  // its room is taken
+  asio::read(slow, asio::buffer(&byte, 1));  // its bytes are reserved
   const std::string refused =
       Raw(running.gateway_.port(), head + "900\r\n\r\n");
   CHECK(refused.find("body_memory_exhausted") != std::string::npos);
@@ -143,7 +143,7 @@
   CHECK(Eventually([&] { return running.Ask("again").result_int() == 200; }));
 }
 
-TEST_CASE("gateway gets over failing backend servers") {
+TEST_CASE("gateway recovers from failing backend servers") {
   Fakes fakes;
   GatewayOptions options = TestOptions();
   options.retry_budget_ = 10;
--- a/tests/unit-idempotency.cc
+++ b/tests/unit-idempotency.cc
@@ -8,7 +8,7 @@
 namespace citronlane {
 namespace {
 
-/// The claims of a control quorum, in memory.
+/// In-memory replacement for the claims of a control quorum.
 class Claims {
  public:
   GatewayHooks Hooks() {
@@ -37,7 +37,7 @@
     entries_[key].answer_.result_ = result;
     fixed_ = true;
   }
-  // The quorum had no room for the answer.
+  // Simulates a quorum without the capacity to store the answer.
   void DropAnswer(const std::string& key) {
     const std::lock_guard lock(mutex_);
     entries_.at(key).answer_.stored_.body_.clear();
@@ -89,7 +89,7 @@
   Claims claims;
   Running running(fakes, claims.Hooks());
 
-  SECTION("runs once; the same again gets the stored answer") {
+  SECTION("runs once; a repetition gets the stored answer") {
     const Response first = running.Post(order_path, order_body, Key("k"));
     CHECK(first.result_int() == 200);
     const Response again = running.Post(order_path, order_body, Key("k"));
@@ -99,7 +99,7 @@
     CHECK(fakes.Calls("engines") == 1);
   }
 
-  SECTION("whose answer was not stored says so, and is not run again") {
+  SECTION("whose answer was not stored is refused and not run again") {
     running.Post(order_path, order_body, Key("k"));
     claims.DropAnswer("k");
     const Response again = running.Post(order_path, order_body, Key("k"));
@@ -116,7 +116,7 @@
     CHECK(fakes.Calls("engines") == 1);
   }
 
-  SECTION("with a key of another body is refused") {
+  SECTION("with the key of another body is refused") {
     running.Post(order_path, order_body, Key("k"));
     const Response other =
         running.Post(order_path, R"({"input": "three metres"})", Key("k"));
@@ -133,7 +133,7 @@
     CHECK(fakes.Calls("engines") == 1);
   }
 
-  SECTION("gives its key back when nothing ran") {
+  SECTION("releases its key when nothing ran") {
     fakes.SetFault("tills", R"({"reject": 99})");
     const Response refused =
         running.Post("/services/till/orders", "cut", Key("k"));
@@ -194,7 +194,7 @@
   CHECK(fakes.Calls("engines") == 1);
 }
 
-TEST_CASE("non-idempotent request runs on when its caller goes away") {
+TEST_CASE("non-idempotent request continues when its caller disconnects") {
   Fakes fakes;
   Claims claims;
   Running running(fakes, claims.Hooks());
