--- a/include/citronlane/gateway/request_driver.h
+++ b/include/citronlane/gateway/request_driver.h
@@ -84,7 +84,7 @@
   const PoolConfig& PoolOf(uint32_t stage) const;
 
   bool OnHead(const InFlightCallPtr& call, const StageReplyHead& head);
-  void OnData(const InFlightCallPtr& call, std::string_view piece);
+  void OnData(const InFlightCallPtr& call, std::string_view fragment);
   bool OnToken(const InFlightCallPtr& call, const Token& token);
   void OnDone(const InFlightCallPtr& call,
               CallOutcome outcome,
--- a/include/citronlane/transport/admin_request.h
+++ b/include/citronlane/transport/admin_request.h
@@ -5,7 +5,7 @@
 
 namespace citronlane {
 
-/// One call of the administration API.
+/// One request to the administration API.
 struct AdminRequest {
   std::string method_;
   /// Without the query.
@@ -14,7 +14,7 @@
   /// Value of the Authorization header.
   std::string authorization_;
   std::string body_;
-  /// The body was over the limit and is cut.
+  /// Whether the body exceeded the limit; body_ holds its beginning.
   bool is_cut_ = false;
 };
 
--- a/include/citronlane/transport/admin_response.h
+++ b/include/citronlane/transport/admin_response.h
@@ -5,14 +5,14 @@
 
 namespace citronlane {
 
-/// The answer to a call of the administration API.
+/// Response to a request to the administration API.
 struct AdminResponse {
   int status_ = 200;
   std::string content_type_ = "application/json";
   std::string body_;
-  /// Where to go instead; empty for none.
+  /// Value of the Location header; empty for none.
   std::string location_;
-  /// Seconds after which another try makes sense; 0 for none.
+  /// Value of the Retry-After header in seconds; 0 for none.
   int retry_after_ = 0;
 };
 
--- a/include/citronlane/transport/admin_server.h
+++ b/include/citronlane/transport/admin_server.h
@@ -12,23 +12,26 @@
 
 namespace citronlane {
 
-/// HTTP server of the administration API, on a few threads of its own. Start
-/// and Stop are called by one thread.
+/// HTTP server of the administration API, with threads of its own. It only
+/// transports requests; the handler implements the API. Start and Stop must be
+/// called by one thread.
 class AdminServer {
  public:
-  /// Called from several threads at once; may block for seconds.
+  /// Returns the response to a request. Called from several threads at once;
+  /// may block for seconds.
   using Handler = std::function<AdminResponse(const AdminRequest&)>;
 
-  /// `listen` is "IP:port".
+  /// `listen` is "IP:port". Serves TLS if `tls` names a certificate.
   AdminServer(std::string listen, TlsFiles tls, Handler handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  /// Returns false and a reason when the address is taken or a file of the TLS
-  /// settings can't be read.
+  /// Returns false and sets `error` if the address can't be bound or a TLS file
+  /// can't be read. Call once.
   bool Start(Error* error);
-  /// May be called twice.
+  /// Stops serving; the handler is not running and is not called any more when
+  /// it returns. May be called again.
   void Stop();
 
  private:
--- a/include/citronlane/transport/class_usage.h
+++ b/include/citronlane/transport/class_usage.h
@@ -5,12 +5,13 @@
 
 namespace citronlane {
 
-/// What a gateway used of a class since its last report.
+/// Usage of a class at one gateway since its last report.
 struct ClassUsage {
   std::string class_name_;
-  /// Micro-units of the declared costs.
+  /// Sum of the configured costs, in micro-units.
   double spent_ = 0;
-  /// Rate of requests that arrive, for the size of the next share.
+  /// Rate of admitted requests; the control VMs size the next spend share by
+  /// it.
   double requests_per_second_ = 0;
 };
 
--- a/include/citronlane/transport/config_feed.h
+++ b/include/citronlane/transport/config_feed.h
@@ -18,28 +18,33 @@
 class ConfigUpdate;
 }
 
-/// Sends configuration updates to the gateways that watch here. Each update is
-/// serialised once; the streams share its bytes. Thread safe. The streams must
-/// be over (the server shut down) before it is destroyed.
+/// Sends configuration updates to the gateways that watch this node. Each
+/// update is serialized once and shared by all streams. Thread safe. All
+/// streams must have ended (the gRPC server is shut down) before it is
+/// destroyed.
 class ConfigFeed {
  public:
   using Stream = grpc::ServerWriteReactor<grpc::ByteBuffer>;
+  /// Returns the first update for a watcher.
   using CatchUp = std::function<wire::ConfigUpdate()>;
 
+  /// Watchers beyond `max_watchers` are rejected.
   explicit ConfigFeed(size_t max_watchers);
   ~ConfigFeed();
   ConfigFeed(const ConfigFeed&) = delete;
   ConfigFeed& operator=(const ConfigFeed&) = delete;
 
-  /// Opens a stream for a watcher that holds `version`. `catch_up` returns the
-  /// first update; it is asked once for all watchers of a version that open
-  /// between two updates. Precondition: no update is published meanwhile.
+  /// Opens a stream for a watcher that holds `version`; gRPC owns the stream.
+  /// Its first update is the result of `catch_up`, which is called at most once
+  /// per version between two calls of Publish. Precondition: Publish is not
+  /// called at the same time.
   Stream* Open(uint64_t version, const CatchUp& catch_up);
 
-  /// Sends an update to every stream; one that is too far behind ends.
+  /// Sends an update to every stream. A stream with too many unsent updates is
+  /// ended.
   void Publish(const wire::ConfigUpdate& update);
 
-  /// Ends every stream; the watchers come back and catch up.
+  /// Ends every stream; the watchers reconnect and catch up.
   void EndAll();
 
   size_t watchers() const;
@@ -53,7 +58,7 @@
   const size_t max_watchers_;
   mutable std::mutex mutex_;
   std::set<WatchStream*> streams_;
-  /// First updates by the version they start from.
+  /// Serialized first updates by the version that the watcher holds.
   std::map<uint64_t, Bytes> catch_ups_;
 };
 
--- a/include/citronlane/transport/control_client.h
+++ b/include/citronlane/transport/control_client.h
@@ -17,12 +17,13 @@
 namespace citronlane {
 
 /// A gateway's connection to the control VMs: watches the configuration at one
-/// of them, renews its lease at all voters, claims at the leader. Thread safe,
-/// but Start and Stop, which one thread calls.
+/// of them, renews the lease on it at a majority, and sends claims and reports
+/// to the leader. Thread safe, except Start and Stop, which must be called by
+/// one thread.
 class ControlClient {
  public:
   using ClaimDone = std::function<void(ClaimAnswer)>;
-  /// Whether the control quorum has it.
+  /// Called with whether the control quorum has stored it.
   using Done = std::function<void(bool)>;
 
   ControlClient(const ControlClientOptions& options, ControlClientHooks hooks);
@@ -33,31 +34,36 @@
   /// Starts the threads; returns at once. Call once.
   void Start();
 
-  /// Answers what waits as unavailable and ends the threads. May be called
-  /// twice. No hook or `done` is called after it returned.
+  /// Completes pending calls as unavailable and ends the threads. No hook is
+  /// called after it has returned, and calls made later fail at once. May be
+  /// called again.
   void Stop();
 
-  /// Claims a key. `done` is called once, from a thread of the client.
-  /// kGranted is given to one call only; later calls for the key, here too,
-  /// get kRunning until Finish or Release.
+  /// Claims a key. `done` is called once, from any thread; before Claim returns
+  /// if the client is stopped or has too many pending calls. Only one call gets
+  /// kGranted; further calls for the key, also through this client, get
+  /// kRunning until Finish or Release.
   void Claim(const ClaimQuery& query, ClaimDone done);
 
-  /// Stores the answer of a claim granted here. Precondition: Claim gave
-  /// kGranted for this key and neither Finish nor Release was called since.
+  /// Stores the answer of a claim. `done` is called once, from any thread,
+  /// after ControlClientOptions::finish_timeout_ at the latest; storing is
+  /// retried in the background after that. Fails at once, without a retry, if
+  /// there are too many pending calls. Precondition: Claim returned kGranted
+  /// for this key, and neither Finish nor Release was called since.
   void Finish(const ClaimQuery& query, const StoredAnswer& answer, Done done);
 
-  /// Gives the claim back; the same precondition, and nothing of the request
-  /// ran.
+  /// Releases a claim. Otherwise as Finish. Precondition: as for Finish, and
+  /// nothing of the request ran.
   void Release(const ClaimQuery& query, Done done);
 
-  /// Sends refusals to the journal and waits for the answer, at most
-  /// `claim_timeout_`. Returns whether control has them. A batch may be sent
-  /// again: the journal keeps one record for each id.
+  /// Sends refusals, and the number dropped, to the journal and waits for the
+  /// reply, at most ControlClientOptions::claim_timeout_. Returns whether they
+  /// were recorded. A batch may be sent again, since the journal keeps one
+  /// record per id. Precondition: Start was called; not called by a hook.
   bool ReportRefusals(const std::vector<RefusalEntry>& refusals,
                       uint64_t dropped);
 
-  /// Tells control that this gateway sees a backend server leaving; goes with
-  /// the next report.
+  /// Reports with the next report that a backend server is draining.
   void ReportLeaving(std::string_view server, uint64_t incarnation);
 
  private:
--- a/include/citronlane/transport/control_client_hooks.h
+++ b/include/citronlane/transport/control_client_hooks.h
@@ -14,26 +14,26 @@
 
 struct ClusterConfig;
 
-/// What a ControlClient tells its gateway, from its own threads. A missing
-/// hook is not called.
+/// Hooks by which a ControlClient notifies its gateway, called from the
+/// client's threads. All are optional.
 struct ControlClientHooks {
-  /// A whole configuration, always of a higher version than the one before.
-  /// The version is in force here once the hook has returned.
+  /// A complete configuration, with a higher version than the previous one. It
+  /// counts as in force at this gateway once the hook has returned.
   std::function<void(std::shared_ptr<const ClusterConfig>)> on_config_;
-  /// The configuration is confirmed until this moment; later than before.
+  /// The configuration lease now ends at `until`, later than before.
   std::function<void(TimePoint until)> on_lease_;
-  /// A backend server leaves, in this incarnation.
+  /// The backend server is draining in this incarnation.
   std::function<void(std::string_view server, uint64_t incarnation)>
       on_leaving_;
-  /// A backend server that was leaving lives again, in a later incarnation.
+  /// A backend server that was draining runs again, with a later incarnation.
   std::function<void(std::string_view server, uint64_t incarnation)> on_live_;
-  /// This gateway may spend `amount` for the class until `until`.
+  /// This gateway may spend `amount` micro-units for the class until `until`.
   std::function<
       void(std::string_view class_name, double amount, TimePoint until)>
       on_share_;
-  /// Asked before each report; what was used since it was last asked.
+  /// Called before each report; returns the usage since the previous call.
   std::function<std::vector<ClassUsage>()> take_usage_;
-  /// Takes one log line without its end.
+  /// Writes one log line, given without a line end.
   std::function<void(std::string_view)> log_;
 };
 
--- a/include/citronlane/transport/control_client_options.h
+++ b/include/citronlane/transport/control_client_options.h
@@ -11,31 +11,32 @@
 
 namespace citronlane {
 
-/// How a gateway talks to the control VMs.
+/// Settings of a ControlClient.
 struct ControlClientOptions {
+  /// Name of the gateway; unique among the gateways.
   std::string gateway_;
-  /// Differs at each start of the gateway, and rises.
+  /// Must increase with each start of the gateway.
   uint64_t incarnation_ = 0;
   std::string failure_domain_;
-  /// "IP:port" of control VMs to begin with; others become known through them.
+  /// "IP:port" of some control VMs, at least one; they report the others.
   std::vector<std::string> addresses_;
-  /// Length of the configuration lease; the same as on the control VMs.
+  /// Length of the configuration lease; must equal that on the control VMs.
   Duration lease_ = std::chrono::seconds(3);
-  /// The node that is watched is asked this often, and as many others as make
-  /// a majority with it half as often.
+  /// How often the lease is renewed at the watched node. As many others as form
+  /// a majority with it are requested half as often.
   Duration renew_interval_ = std::chrono::milliseconds(650);
-  /// A node that is watched and silent for this long is left. Above
-  /// renew_interval_: the difference is the time a question may take.
+  /// Another node is watched when the watched one was silent for this long.
+  /// Must exceed renew_interval_: the difference is the timeout of one renewal.
   Duration watch_timeout_ = std::chrono::milliseconds(950);
-  /// One try of a call, and a claim or report with all its retries. A finish is
-  /// answered after finish_timeout_ at the latest and goes on in the
-  /// background.
+  /// Timeout of one attempt of a call, and of a claim or report with all its
+  /// retries. A finish completes after finish_timeout_ at the latest, while its
+  /// retries continue in the background.
   Duration try_timeout_ = std::chrono::milliseconds(500);
   Duration claim_timeout_ = std::chrono::seconds(3);
   Duration finish_timeout_ = std::chrono::seconds(3);
   Duration retry_delay_ = std::chrono::milliseconds(50);
   Duration report_interval_ = std::chrono::seconds(1);
-  /// Calls waiting at once; more are answered as unavailable.
+  /// Maximum number of pending claims and finishes; more fail as unavailable.
   size_t max_pending_ = 4096;
   TlsFiles tls_;
 };
--- a/include/citronlane/transport/control_service.h
+++ b/include/citronlane/transport/control_service.h
@@ -11,11 +11,12 @@
 
 namespace citronlane {
 
-/// The gRPC service for gateways on a control VM. Start and Stop are called by
-/// one thread.
+/// The gRPC service of a control VM for the gateways. It only transports calls;
+/// the hooks implement them. Start and Stop must be called by one thread.
 class ControlService {
  public:
-  /// `listen` is "IP:port"; at most `max_pending` calls wait at once.
+  /// `listen` is "IP:port". Calls beyond `max_pending` that wait for `done`
+  /// fail with RESOURCE_EXHAUSTED.
   ControlService(std::string listen,
                  TlsFiles tls,
                  size_t max_pending,
@@ -24,11 +25,13 @@
   ControlService(const ControlService&) = delete;
   ControlService& operator=(const ControlService&) = delete;
 
-  /// Returns false and a reason when the address is taken.
+  /// Returns false and sets `error` if the address can't be bound or a TLS file
+  /// can't be used. Call once.
   bool Start(Error* error);
 
-  /// Ends the server. Precondition: every `done` handed out was or is being
-  /// called, and the watch streams end.
+  /// Shuts the server down and waits for its calls. Precondition: every `done`
+  /// has been called or is about to be called, and the watch streams end (see
+  /// ConfigFeed::EndAll). May be called again.
   void Stop();
 
  private:
--- a/include/citronlane/transport/control_service_hooks.h
+++ b/include/citronlane/transport/control_service_hooks.h
@@ -8,8 +8,9 @@
 
 namespace citronlane {
 
-/// How a control node answers its gateways. Called from any thread, several at
-/// once; each `done` is called once, from any thread. All must be set.
+/// Implementation of the calls of ControlService. Hooks are called from several
+/// threads at once; each must call its callback exactly once, from any thread.
+/// All must be set.
 struct ControlServiceHooks {
   template <typename Request, typename Reply>
   using Call =
--- a/include/citronlane/transport/detail/call_tracker.h
+++ b/include/citronlane/transport/detail/call_tracker.h
@@ -11,18 +11,19 @@
 
 namespace citronlane {
 
-/// Knows the calls that are under way, so that an end can cancel them and wait
-/// for them. Thread safe.
+/// Tracks gRPC calls in flight, so that Stop can cancel them and wait for them.
+/// Thread safe.
 class CallTracker {
  public:
-  /// A call is about to start. False when none may start any more.
+  /// Registers a call that is about to start. Returns false after Stop: the
+  /// call must not be started, and End must not be called.
   bool Begin(grpc::ClientContext* context);
-  /// The call is over; the last thing its callback does.
+  /// Unregisters a call. Must be the last action of its callback.
   void End(grpc::ClientContext* context);
 
   bool is_stopping() const;
 
-  /// Cancels everything and waits until it is over. May be called twice.
+  /// Cancels all calls and waits until they have ended. May be called again.
   void Stop();
 
  private:
--- a/include/citronlane/transport/detail/config_holder.h
+++ b/include/citronlane/transport/detail/config_holder.h
@@ -13,15 +13,18 @@
 
 namespace citronlane {
 
-/// The gateway's configuration and its lease: brings watcher, renewer and the
-/// pure parts together. Used on the link's thread, but Start.
+/// Keeps a gateway's configuration and the lease on it up to date: connects
+/// ConfigWatcher and LeaseRenewer, which communicate, with ConfigFollower and
+/// ConfigLease, which decide. Used on the link's thread, except Start.
 class ConfigHolder {
  public:
-  /// `on_unregistered` is called when control does not know this gateway.
+  /// `on_unregistered` is called when a control VM replies that the gateway
+  /// isn't registered. Pointers and references must outlive the holder.
   ConfigHolder(ControlLink* link,
                const ControlClientHooks& hooks,
                std::function<void()> on_unregistered);
 
+  /// Starts watching and renewing. Call once; thread safe.
   void Start();
 
  private:
@@ -29,8 +32,8 @@
   void OnUpdate(const wire::ConfigUpdate& update);
   void OnReply(const wire::LeaseReply& reply, TimePoint sent);
   void OnProbe(const std::string& address, bool answered);
-  void TellServers(const wire::ConfigUpdate& update) const;
-  void TellLease();
+  void ReportServers(const wire::ConfigUpdate& update) const;
+  void ReportLease();
   void CheckBehind();
   void Log(const std::string& line) const;
 
@@ -42,13 +45,14 @@
   ConfigWatcher watcher_;
   LeaseRenewer renewer_;
   uint64_t ticks_ = 0;
-  /// Voters, as last heard.
-  size_t voters_ = 0;
-  TimePoint told_until_{};
-  /// The next watch asks for the whole document.
-  bool need_whole_ = false;
-  /// Newest version any voter named, and since when it is above ours.
-  uint64_t newest_seen_ = 0;
+  /// Number of voters, as last reported.
+  size_t voter_count_ = 0;
+  TimePoint reported_until_{};
+  /// Whether the next watch requests the full document.
+  bool need_full_document_ = false;
+  /// Newest version that any voter reported, and since when it has been higher
+  /// than the version in force here.
+  uint64_t newest_voter_version_ = 0;
   TimePoint behind_since_{};
   Duration behind_limit_{};
 };
--- a/include/citronlane/transport/detail/config_watcher.h
+++ b/include/citronlane/transport/detail/config_watcher.h
@@ -11,27 +11,28 @@
 
 namespace citronlane {
 
-/// Watches the configuration at one control VM, at another one when that is
-/// silent, ends the stream or stays behind. Used on the link's thread, which
-/// also runs the hooks.
+/// Watches the configuration at one control VM, and switches to the next one
+/// when the stream ends or the owner requests it. Used on the link's thread, on
+/// which the hooks are called, too.
 class ConfigWatcher {
  public:
   struct Hooks {
     std::function<void(const wire::ConfigUpdate&)> on_update_;
-    /// Version to go on from; 0 asks for the whole document.
+    /// Returns the version to continue from; 0 requests the full document.
     std::function<uint64_t()> version_;
-    std::function<void(const std::string& address)> on_left_;
+    /// The node at `address` is not watched any more.
+    std::function<void(const std::string& address)> on_switch_;
   };
 
   ConfigWatcher(ControlLink* link, Hooks hooks);
 
   void Start();
-  /// Leaves the node and goes on at the next one.
-  void MoveOn();
-  /// Asks the same node again.
+  /// Stops watching the node and watches the next one.
+  void SwitchNode();
+  /// Opens a new watch at the same node.
   void Restart();
 
-  /// Address of the node that is watched, or was last.
+  /// Address of the watched node, or of the last one.
   const std::string& address() const { return address_; }
 
  private:
@@ -40,13 +41,13 @@
   void Open();
   void OnUpdate(uint64_t serial, const wire::ConfigUpdate& update);
   void OnEnd(uint64_t serial);
-  void Leave();
+  void CloseSession();
 
   ControlLink* const link_;
   const Hooks hooks_;
   size_t next_ = 0;
   std::string address_;
-  /// Tells the present session from those left behind.
+  /// Identifies the current session; events of earlier ones are ignored.
   uint64_t serial_ = 0;
   std::shared_ptr<Session> session_;
 };
--- a/include/citronlane/transport/detail/connection_pool.h
+++ b/include/citronlane/transport/detail/connection_pool.h
@@ -15,27 +15,30 @@
 
 namespace citronlane::detail {
 
-/// Kept-alive connections of one client, by server. Not thread safe.
+/// Idle kept-alive connections of one StageClient. `key` is the server's
+/// address with the connection group. Not thread safe.
 class ConnectionPool {
  public:
   ConnectionPool(boost::asio::io_context* io, const StageLimits& limits);
 
-  /// The connection that was used last, unless it has been idle for too long.
+  /// Returns the connection that was used last, or null if there is none that
+  /// has been idle for less than `max_idle_time` and is still usable.
   std::unique_ptr<StageConnection> TakeIdle(const std::string& key,
-                                            Duration longest_idle);
-  void GiveBack(const std::string& key,
-                std::unique_ptr<StageConnection> connection);
+                                            Duration max_idle_time);
+  /// Keeps a connection, or closes it if there are too many for the key.
+  void PutIdle(const std::string& key,
+               std::unique_ptr<StageConnection> connection);
 
   boost::asio::io_context* io() const { return io_; }
   const StageLimits& limits() const { return limits_; }
   size_t idle_connections() const;
 
  private:
-  void CloseAged();
+  void CloseExpired();
 
   boost::asio::io_context* const io_;
   const StageLimits limits_;
-  TimePoint next_close_{};
+  TimePoint next_expiry_check_{};
   std::map<std::string, std::vector<std::unique_ptr<StageConnection>>> idle_;
 };
 
--- a/include/citronlane/transport/detail/control_channels.h
+++ b/include/citronlane/transport/detail/control_channels.h
@@ -14,27 +14,30 @@
 
 namespace citronlane {
 
-/// Connections to the control VMs, made when first used, and which of them is
-/// thought to lead. Thread safe.
+/// gRPC channels to the control VMs, created when first used, and the address
+/// of the assumed leader. Thread safe.
 class ControlChannels {
  public:
   using Stub = wire::Control::Stub;
 
   ControlChannels(std::vector<std::string> addresses, TlsFiles tls);
 
-  /// Replaces what is known of the addresses; an empty list changes nothing.
+  /// Replaces the addresses; an empty list is ignored.
   void SetAddresses(std::vector<std::string> addresses);
   std::vector<std::string> addresses() const;
 
-  /// Returns the connection to an address; never null.
+  /// Returns the stub for an address; never null. If the TLS files can't be
+  /// used, all its calls fail.
   std::shared_ptr<Stub> Get(const std::string& address);
 
-  /// Where to send what the leader must answer. Precondition: there is an
-  /// address.
+  /// Returns the address of the assumed leader. Precondition: there is at least
+  /// one address.
   std::string Leader() const;
 
-  /// `address` did not lead; `leader` may, when it is not empty. Only the first
-  /// of several calls that failed at one address moves on.
+  /// Reports that a call to `address` failed because it isn't the leader;
+  /// `leader` is the address that it named instead, or empty. Ignored unless
+  /// `address` is the assumed leader, so that several failed calls advance it
+  /// only once.
   void OnNotLeader(const std::string& address, const std::string& leader);
 
  private:
--- a/include/citronlane/transport/detail/control_link.h
+++ b/include/citronlane/transport/detail/control_link.h
@@ -8,7 +8,7 @@
 
 namespace citronlane {
 
-/// What the parts of a ControlClient share.
+/// State shared by the components of a ControlClient.
 struct ControlLink {
   explicit ControlLink(const ControlClientOptions& options)
       : options_(options), channels_(options.addresses_, options.tls_) {
@@ -21,7 +21,8 @@
   wire::GatewayId gateway_;
   ControlChannels channels_;
   CallTracker calls_;
-  /// The client's one thread for everything but the start of claims.
+  /// The client's thread. Everything runs on it, except the start of claims and
+  /// finishes and the callbacks of gRPC.
   TimerQueue timers_;
 };
 
--- a/include/citronlane/transport/detail/coroutine.h
+++ b/include/citronlane/transport/detail/coroutine.h
@@ -7,7 +7,7 @@
 
 namespace citronlane::detail {
 
-/// Stack of one coroutine. Only the pages that are used take memory.
+/// Stack size of one coroutine. Only pages that are used occupy memory.
 constexpr size_t kCoroutineStackBytes = size_t{96} * 1024;
 
 inline boost::coroutines::attributes CoroutineAttributes() {
--- a/include/citronlane/transport/detail/header_name.h
+++ b/include/citronlane/transport/detail/header_name.h
@@ -7,7 +7,7 @@
 
 namespace citronlane::detail {
 
-/// Compares names of headers, without regard to case. Thread safe.
+/// Whether two header names are equal, ignoring case. Thread safe.
 inline bool SameHeaderName(std::string_view left, std::string_view right) {
   return std::equal(left.begin(), left.end(), right.begin(), right.end(),
                     [](unsigned char a, unsigned char b) {
--- a/include/citronlane/transport/detail/http_connection.h
+++ b/include/citronlane/transport/detail/http_connection.h
@@ -21,8 +21,9 @@
 
 namespace citronlane::detail {
 
-/// One caller's connection: reads a request, lends itself to the handler,
-/// reads the next one. Not thread safe: used on its shard's thread.
+/// One caller's connection: reads requests one after the other and passes each
+/// to the handler, with itself as the exchange. Not thread safe: used on the
+/// thread of its shard.
 class HttpConnection : public HttpExchange,
                        public std::enable_shared_from_this<HttpConnection> {
  public:
@@ -37,11 +38,12 @@
                  size_t shard);
   ~HttpConnection() override;
 
-  /// Serves until the connection is over. Call once, in a coroutine.
+  /// Serves requests until the connection is closed. Call once, in a coroutine.
   void Run(const boost::asio::yield_context& yield);
-  /// Answers that there is no room and closes. Instead of Run.
+  /// Refuses the connection because of the connection limit and closes it. Call
+  /// once, in a coroutine, instead of Run.
   void RunRefused(const boost::asio::yield_context& yield);
-  /// Closes a connection that waits for its next request.
+  /// Closes the connection if it is waiting for its next request.
   void CloseIfIdle();
 
   bool Reply(const HttpReply& reply) override;
@@ -60,11 +62,11 @@
   using Parser =
       boost::beast::http::request_parser<boost::beast::http::string_body>;
 
-  /// What of the answer to the request in hand was sent.
-  enum class Answer { kNone, kStreaming, kWhole };
+  /// How much of the response to the current request was sent.
+  enum class ResponseState { kNone, kStreaming, kComplete };
 
   bool ServeOne();
-  bool BeginAnswer(Answer answer);
+  bool BeginResponse(ResponseState state);
   void ReportMisuse(std::string_view what);
   bool WaitForFirstByte();
   bool ReadRequest(Parser* parser);
@@ -88,7 +90,7 @@
   const boost::asio::yield_context* yield_ = nullptr;
   uint64_t reserved_bytes_ = 0;
   const HttpRequest* request_ = nullptr;
-  Answer answer_ = Answer::kNone;
+  ResponseState response_state_ = ResponseState::kNone;
   bool keep_alive_ = true;
   bool head_request_ = false;
   bool stream_has_body_ = true;
--- a/include/citronlane/transport/detail/http_listener_state.h
+++ b/include/citronlane/transport/detail/http_listener_state.h
@@ -13,10 +13,10 @@
 
 class HttpConnection;
 
-/// Connections of one thread; touched on that thread only.
+/// Connections of one thread; accessed on that thread only.
 using HttpConnectionSet = std::unordered_set<HttpConnection*>;
 
-/// What the connections of one listener share.
+/// State shared by the connections of one listener.
 struct HttpListenerState {
   HttpListenerState(const HttpLimits& limits, HttpListenerHooks hooks)
       : limits_(limits), hooks_(std::move(hooks)) {}
@@ -27,7 +27,7 @@
   std::atomic<bool> stopped_{false};
   std::atomic<size_t> active_requests_{0};
   std::atomic<size_t> connections_{0};
-  /// Bytes of bodies that are being read or served.
+  /// Bytes reserved for the bodies of requests that are being read or served.
   std::atomic<uint64_t> body_bytes_{0};
 };
 
--- a/include/citronlane/transport/detail/http_text.h
+++ b/include/citronlane/transport/detail/http_text.h
@@ -13,19 +13,21 @@
 constexpr std::string_view kLastChunk = "0\r\n\r\n";
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
-/// Returns the bytes of a whole reply; without the body for a HEAD request.
-std::string WholeReplyText(const HttpReply& reply,
-                           bool keep_alive,
-                           bool head_request);
+/// Returns the bytes of a complete response, without its body for a HEAD
+/// request.
+std::string CompleteReplyText(const HttpReply& reply,
+                              bool keep_alive,
+                              bool head_request);
 
-/// Returns the bytes of the head of a chunked reply.
+/// Returns the bytes of the head of a chunked response.
 std::string StreamHeadText(const HttpReply& head, bool keep_alive);
 
-/// Whether bytes may follow the head of a reply: what comes behind one that has
-/// no body is read as the start of the next reply.
+/// Whether a body may follow the head of a response. Bytes after a response
+/// without a body would be read as the start of the next response.
 bool MayHaveBody(int status, bool head_request);
 
-/// Returns one chunk. Precondition: not empty.
+/// Returns one chunk of a chunked body. Precondition: `bytes` is not empty,
+/// since an empty chunk ends the body.
 std::string ChunkText(std::string_view bytes);
 
 }  // namespace citronlane::detail
--- a/include/citronlane/transport/detail/leader_call.h
+++ b/include/citronlane/transport/detail/leader_call.h
@@ -16,8 +16,9 @@
 
 namespace citronlane {
 
-/// One call to the leader with its retries. The request is the same in each
-/// try, so it must be one that may be sent again.
+/// One call to the leader, with retries until it gets a final reply or the
+/// deadline passes. Each attempt sends the same request, which must be
+/// idempotent.
 template <typename Request, typename Reply>
 class LeaderCall
     : public std::enable_shared_from_this<LeaderCall<Request, Reply>> {
@@ -26,9 +27,9 @@
   using Status = std::function<void(grpc::Status)>;
   using Method = std::function<
       void(Stub*, grpc::ClientContext*, const Request*, Reply*, Status)>;
-  /// Whether the reply ends the call.
+  /// Whether the reply ends the call; otherwise it is retried.
   using IsFinal = std::function<bool(const Reply&)>;
-  /// The final reply, or nothing when there was none in time.
+  /// Receives the final reply, or nothing if there was none in time.
   using Done = std::function<void(const std::optional<Reply>&)>;
 
   LeaderCall(ControlLink* link,
@@ -44,7 +45,8 @@
         deadline_(deadline),
         done_(std::move(done)) {}
 
-  /// Sends the next try. `done` is called once, from any thread.
+  /// Sends the next attempt; callers call it once. `done` is called once, from
+  /// any thread, possibly before Try returns.
   void Try() {
     auto attempt = std::make_shared<Attempt>();
     if (!link_->calls_.Begin(&attempt->context_)) {
@@ -67,7 +69,8 @@
 
  private:
   static constexpr Duration kMinTry = std::chrono::milliseconds(10);
-  /// Before a try at an address that another node named.
+  /// Delay before an attempt at the address that another node reported as
+  /// leader.
   static constexpr Duration kRedirectDelay = std::chrono::milliseconds(2);
 
   struct Attempt {
--- a/include/citronlane/transport/detail/lease_renewer.h
+++ b/include/citronlane/transport/detail/lease_renewer.h
@@ -11,46 +11,50 @@
 
 namespace citronlane {
 
-/// Asks control VMs to renew the lease, one question at a time each. Used on
-/// the link's thread, which also runs the hooks.
+/// Sends lease renewals to the control VMs, with at most one in flight per
+/// node. Used on the link's thread, on which the hooks are called, too.
 class LeaseRenewer {
  public:
   struct Hooks {
     std::function<void(const wire::LeaseReply& reply, TimePoint sent)>
         on_reply_;
-    /// Whether the node at the address answered in time.
+    /// A renewal has ended; `answered` if the node replied in time. Called
+    /// before on_reply_.
     std::function<void(const std::string& address, bool answered)> on_probe_;
   };
 
   LeaseRenewer(ControlLink* link, Hooks hooks);
 
-  /// Asks one node. While a question to it is open with another version, it is
-  /// asked again after that.
-  void Ask(const std::string& address, uint64_t version);
-  void AskAll(uint64_t version);
-  /// Asks the nodes whose last answer was to another version, so that each
-  /// learns which is in force here.
-  void AskUntold(uint64_t version);
-  /// Asks `count` nodes but `address`, others each time.
-  void AskOthers(const std::string& address, size_t count, uint64_t version);
+  /// Sends a renewal for `version` to one node. If one for another version is
+  /// in flight, this one is sent after it.
+  void Renew(const std::string& address, uint64_t version);
+  /// Sends a renewal to every node.
+  void RenewAtAll(uint64_t version);
+  /// Sends a renewal to the nodes that last replied to another version, so that
+  /// each is notified which version is in force here.
+  void RenewAtOutdated(uint64_t version);
+  /// Sends a renewal to `count` nodes other than `address`, in rotation.
+  void RenewAtOthers(const std::string& address,
+                     size_t count,
+                     uint64_t version);
 
   void set_peers_hash(uint64_t hash) { peers_hash_ = hash; }
 
  private:
-  struct Question;
+  struct Renewal;
 
-  void OnAnswer(const std::string& address, const Question& question, bool ok);
+  void OnDone(const std::string& address, const Renewal& renewal, bool ok);
 
   ControlLink* const link_;
   const Hooks hooks_;
   uint64_t peers_hash_ = 0;
   size_t next_other_ = 0;
-  /// Version of the open question to each address.
-  std::map<std::string, uint64_t> open_;
-  /// Version of the last question that each address answered.
-  std::map<std::string, uint64_t> told_;
-  /// Version to ask an address with once its question is over.
-  std::map<std::string, uint64_t> again_;
+  /// Version of the renewal in flight to each address.
+  std::map<std::string, uint64_t> in_flight_;
+  /// Version of the last renewal that each address replied to.
+  std::map<std::string, uint64_t> confirmed_versions_;
+  /// Version to renew at an address when the renewal in flight has ended.
+  std::map<std::string, uint64_t> next_versions_;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/transport/detail/reporter.h
+++ b/include/citronlane/transport/detail/reporter.h
@@ -13,19 +13,22 @@
 
 namespace citronlane {
 
-/// Sends what a gateway used, refused and saw leaving. One report is under way
-/// at a time and is sent until control has it, so that each counts once. Used
-/// on the link's thread, which also runs the hooks.
+/// Reports usage, refusals and draining servers to the control VMs. One report
+/// is in flight at a time and is resent until it is accepted; its sequence
+/// number ensures that it counts once. Used on the link's thread, on which the
+/// hooks are called, too.
 class Reporter {
  public:
   using Done = std::function<void(bool)>;
 
   Reporter(ControlLink* link, const ControlClientHooks& hooks);
 
-  /// Reports now and then in each interval.
+  /// Sends a report now and then once per interval. Thread safe.
   void Start();
 
-  /// `done` is called once with whether control has them.
+  /// Adds refusals to the next report. `done` is called once: with true when
+  /// they were accepted, or with false at `deadline`; they may still be
+  /// accepted then.
   void AddRefusals(std::vector<wire::RefusalRecord> refusals,
                    uint64_t dropped,
                    TimePoint deadline,
@@ -33,7 +36,7 @@
   void AddLeaving(const std::string& server, uint64_t incarnation);
 
  private:
-  /// Refusals that wait for a report, with whom to tell.
+  /// Refusals of one call of AddRefusals.
   struct Batch {
     std::vector<wire::RefusalRecord> refusals_;
     uint64_t dropped_ = 0;
@@ -46,12 +49,12 @@
   bool Fill(wire::ReportRequest* request);
   void Send(const wire::ReportRequest& request);
   void OnReply(const std::optional<wire::ReportReply>& reply, TimePoint sent);
-  void DropLate();
+  void ExpireBatches();
 
   ControlLink* const link_;
   const ControlClientHooks& hooks_;
   uint64_t sequence_ = 0;
-  std::optional<wire::ReportRequest> open_;
+  std::optional<wire::ReportRequest> in_flight_;
   std::vector<Batch> sent_;
   std::vector<Batch> waiting_;
   std::map<std::string, uint64_t> leaving_;
--- a/include/citronlane/transport/detail/stage_connection.h
+++ b/include/citronlane/transport/detail/stage_connection.h
@@ -23,7 +23,7 @@
   Stream stream_;
   boost::beast::flat_buffer buffer_;
   TimePoint idle_since_{};
-  /// How long the server keeps the idle connection, if it said so.
+  /// How long the connection may be reused, by the server's Keep-Alive header.
   std::optional<Duration> idle_limit_;
 };
 
--- a/include/citronlane/transport/detail/stage_messages.h
+++ b/include/citronlane/transport/detail/stage_messages.h
@@ -17,17 +17,17 @@
 
 using StageReplyFields = boost::beast::http::response_header<>;
 
-/// Returns the bytes of a call to a backend server. Thread safe, as all of
-/// these.
+/// Returns the bytes of the HTTP request for a call. Thread safe, as are the
+/// functions below.
 std::string RequestText(const StageCallSpec& spec);
 
-/// Returns what a reply's head says; whether the connection was kept is for
-/// the caller to fill in.
+/// Parses the head of a reply. kept_connection_ has to be set by the caller.
 StageReplyHead ReadHead(const StageReplyFields& reply);
 
-/// Returns how long the server keeps the connection open without a call, by its
-/// "Keep-Alive: timeout=SECONDS", less a part for the way there: a call that
-/// crosses the server's close may have run. Nothing when it does not say.
+/// Returns how long the idle connection may be reused: the time in the server's
+/// "Keep-Alive: timeout=SECONDS", less a margin for the network delay, because
+/// a call that meets the server's close on its way may or may not have run.
+/// Nothing without such a header.
 std::optional<Duration> IdleLimit(const StageReplyFields& reply);
 
 }  // namespace citronlane::detail
--- a/include/citronlane/transport/detail/timer_queue.h
+++ b/include/citronlane/transport/detail/timer_queue.h
@@ -11,8 +11,8 @@
 
 namespace citronlane {
 
-/// Runs tasks at their time, one after the other, on a thread of its own.
-/// Thread safe, but Start and Stop.
+/// Runs tasks at given times, one after the other, on a thread of its own.
+/// Thread safe, except Start and Stop.
 class TimerQueue {
  public:
   using Task = std::function<void()>;
@@ -23,14 +23,16 @@
   TimerQueue& operator=(const TimerQueue&) = delete;
 
   void Start();
-  /// Runs what is left at once, in order of time, and ends the thread. Tasks
-  /// given later run in the caller. May be called twice.
+  /// Runs the remaining tasks at once, in order of time, and ends the thread.
+  /// Tasks added later run at once in the calling thread. May be called again.
   void Stop();
 
-  /// Runs the task at `time`; tasks of one time run in the order given.
+  /// Runs the task at `time`; tasks for the same time run in the order in which
+  /// they were added.
   void At(TimePoint time, Task task);
   /// Runs the task as soon as possible.
   void Post(Task task);
+  /// Runs the task after `delay`.
   void After(Duration delay, Task task);
 
  private:
--- a/include/citronlane/transport/grpc_credentials.h
+++ b/include/citronlane/transport/grpc_credentials.h
@@ -14,10 +14,10 @@
 
 struct TlsFiles;
 
-/// Credentials of a gRPC server or client: plain TCP without a certificate,
-/// TLS with one, and both sides must show a certificate when `files` names a
-/// CA. Null and a reason when a file can not be read, or the private key may be
-/// read by others than its owner. Thread safe.
+/// Creates the credentials of a gRPC server or client: plain TCP if `files`
+/// names no certificate, TLS otherwise, and mutual TLS if it also names a CA.
+/// Returns null and sets `error` if a file can't be read, or if others than its
+/// owner may read the private key. Thread safe.
 std::shared_ptr<grpc::ServerCredentials> MakeServerCredentials(
     const TlsFiles& files,
     Error* error);
--- a/include/citronlane/transport/http_exchange.h
+++ b/include/citronlane/transport/http_exchange.h
@@ -8,34 +8,37 @@
 
 namespace citronlane {
 
-/// The answering side of one caller's request, lent to the handler. Exactly
-/// one of Reply, or StartStream with EndStream or Abort, is called. Not thread
-/// safe: used on the connection's thread only.
+/// Sends the response to one request. It belongs to the connection and is valid
+/// while the handler runs. The handler calls either Reply once, or StartStream,
+/// any number of Write, and then EndStream or Abort. Not thread safe: used on
+/// the connection's thread, in the handler's coroutine.
 class HttpExchange {
  public:
   virtual ~HttpExchange() = default;
 
-  /// Sends the whole reply. Returns false when the caller is gone, or when the
-  /// request was answered before: then nothing is sent.
+  /// Sends a complete response. Returns false if the caller has disconnected,
+  /// or if a response was already sent or started; nothing is sent then.
   virtual bool Reply(const HttpReply& reply) = 0;
 
-  /// Sends the head of a streamed reply; `head.body_` is not used. Returns as
-  /// Reply does.
+  /// Sends the head of a streamed response; `head.body_` is ignored. Returns
+  /// the same as Reply.
   virtual bool StartStream(const HttpReply& head) = 0;
-  /// Precondition: a stream was started. Returns when the bytes are handed
-  /// over, or false when the caller is gone or takes none.
+  /// Sends part of the body of a streamed response. Returns true when the bytes
+  /// were passed to the socket; false if no stream is open, the caller has
+  /// disconnected or doesn't read them in time.
   virtual bool Write(std::string_view bytes) = 0;
-  /// Ends the stream cleanly.
+  /// Ends the stream. Returns the same as Write.
   virtual bool EndStream() = 0;
-  /// Closes the connection with the stream visibly cut.
+  /// Closes the connection without ending the stream, so that the caller can
+  /// tell that it is incomplete.
   virtual void Abort() = 0;
 
-  /// Suspends the handler until Notify is called; a caller that goes away
-  /// calls it too, once. A Notify before Wait is not lost.
+  /// Suspends the handler until Notify is called, which also happens once when
+  /// the caller disconnects. Returns at once if Notify was called before.
   virtual void Wait() = 0;
-  /// Wakes Wait. May be called from any function on the same thread.
+  /// Wakes up Wait. May be called from any code on the connection's thread.
   virtual void Notify() = 0;
-  /// Whether the caller closed its connection.
+  /// Whether the caller has disconnected.
   virtual bool caller_gone() const = 0;
 };
 
--- a/include/citronlane/transport/http_header.h
+++ b/include/citronlane/transport/http_header.h
@@ -5,7 +5,7 @@
 
 namespace citronlane {
 
-/// One header line.
+/// One header field.
 struct HttpHeader {
   std::string name_;
   std::string value_;
--- a/include/citronlane/transport/http_limits.h
+++ b/include/citronlane/transport/http_limits.h
@@ -8,21 +8,23 @@
 
 namespace citronlane {
 
-/// What one caller's connection may cost the gateway at most.
+/// Limits on the connections of callers.
 struct HttpLimits {
-  /// Bytes of a request's header, all lines together.
+  /// Maximum size of a request's header, all fields together.
   uint32_t header_bytes_ = 16 * 1024;
-  /// Bytes of a request's body.
+  /// Maximum size of a request's body.
   uint64_t body_bytes_ = 1024ULL * 1024;
-  /// Bytes of bodies held at once over all connections.
+  /// Maximum size of all bodies in memory. One body of body_bytes_ is always
+  /// accepted.
   uint64_t total_body_bytes_ = 64ULL * 1024 * 1024;
-  /// Open connections over all threads; more are closed at once.
+  /// Maximum number of open connections of all threads. Further ones get a
+  /// refusal; above twice this number they are closed without one.
   size_t connections_ = 4096;
-  /// From the first byte of a request to its last.
+  /// From the first byte of a request to its last byte.
   Duration read_timeout_ = std::chrono::seconds(10);
-  /// Without any byte between two requests of a connection.
+  /// How long a connection may be idle between two requests.
   Duration idle_timeout_ = std::chrono::seconds(60);
-  /// For each write to a caller that takes no more bytes.
+  /// Timeout of each write to a caller.
   Duration write_timeout_ = std::chrono::seconds(10);
 };
 
--- a/include/citronlane/transport/http_listener.h
+++ b/include/citronlane/transport/http_listener.h
@@ -17,39 +17,44 @@
 
 namespace citronlane {
 
-/// Callers' HTTP/1.1 listener: keep-alive connections, spread over threads,
-/// each served by one coroutine. Every io_context must be run by one thread.
-/// The public methods are thread safe.
+/// HTTP/1.1 listener for callers. Connections are kept alive, distributed over
+/// the threads and served by one coroutine each. It parses requests and sends
+/// responses; the hooks decide what the response is. Every io_context must be
+/// run by exactly one thread. Thread safe unless noted otherwise.
 class HttpListener {
  public:
-  /// Precondition: the contexts outlive the listener.
+  /// Precondition: `shards` is not empty, and its contexts outlive the
+  /// listener.
   HttpListener(std::vector<boost::asio::io_context*> shards,
                const HttpLimits& limits,
                HttpListenerHooks hooks);
-  /// Precondition: the threads of the shards have ended.
+  /// Precondition: the threads of the contexts have ended.
   ~HttpListener();
   HttpListener(const HttpListener&) = delete;
   HttpListener& operator=(const HttpListener&) = delete;
 
-  /// Binds an IP number; port 0 takes any free port. Returns false and a
-  /// reason when that fails. Call once, before the threads run.
+  /// Binds an IP address and starts accepting; port 0 selects a free port.
+  /// Returns false and sets `error` on failure. Call once, before the threads
+  /// run.
   bool Listen(const std::string& address, uint16_t port, Error* error);
 
-  /// Port bound. Precondition: Listen returned true.
+  /// Returns the bound port. Precondition: Listen returned true.
   uint16_t port() const;
 
-  /// Bounds requests and connections from now on. Preconditions: one shard;
-  /// called on its thread.
+  /// Sets the limits for further requests and connections. Preconditions: there
+  /// is one shard; called on its thread.
   void SetLimits(const HttpLimits& limits);
 
-  /// Each reply from now on closes its connection.
+  /// From now on, each response closes its connection.
   void CloseAfterReplies();
 
-  /// Stops accepting and closes connections without a request in hand.
+  /// Stops accepting and closes idle connections; the others are closed after
+  /// their current request. Takes effect on the threads of the contexts.
   void StopAccepting();
 
-  /// Requests now with the handler.
+  /// Number of requests that are being served by the handler.
   size_t active_requests() const;
+  /// Number of open connections.
   size_t connections() const;
 
  private:
--- a/include/citronlane/transport/http_listener_hooks.h
+++ b/include/citronlane/transport/http_listener_hooks.h
@@ -13,16 +13,17 @@
 class HttpExchange;
 struct HttpRequest;
 
-/// What a listener does with what it reads. Called on the threads of the
-/// connections.
+/// Request handling of an HttpListener. Called on the threads of the
+/// connections, several at once. serve_ and refuse_ must be set.
 struct HttpListenerHooks {
-  /// Serves one request; runs in the connection's coroutine on the given
-  /// thread.
+  /// Serves one request, in the connection's coroutine on the thread of
+  /// `shard`. Must respond through the exchange before it returns.
   std::function<void(size_t shard, const HttpRequest&, HttpExchange*)> serve_;
-  /// Builds the reply to a request that can't be read; nothing of it ran.
+  /// Returns the response to a request that can't be read, or to a connection
+  /// over the limit. Nothing of the request ran. The response is discarded if
+  /// the connection is already closed.
   std::function<HttpReply(RefusalReason)> refuse_;
-  /// A handler did with its exchange what it must not, which was not done.
-  /// Optional.
+  /// The handler misused its exchange; the call had no effect. Optional.
   std::function<void(const HttpRequest&, std::string_view what)> misused_;
 };
 
--- a/include/citronlane/transport/http_reply.h
+++ b/include/citronlane/transport/http_reply.h
@@ -8,7 +8,7 @@
 
 namespace citronlane {
 
-/// A whole reply to a caller.
+/// A complete HTTP response to a caller.
 struct HttpReply {
   int status_ = 200;
   std::string content_type_ = "application/json";
--- a/include/citronlane/transport/http_request.h
+++ b/include/citronlane/transport/http_request.h
@@ -10,7 +10,7 @@
 
 namespace citronlane {
 
-/// A caller's request, read whole.
+/// A caller's request, completely read.
 struct HttpRequest {
   std::string method_;
   /// Path and query as sent.
@@ -18,12 +18,12 @@
   std::vector<HttpHeader> headers_;
   std::string body_;
 
-  /// Returns the first header of that name, without regard to case, or an
-  /// empty view.
+  /// Returns the value of the first header of that name, ignoring case, or an
+  /// empty view. Valid as long as the request is unchanged.
   std::string_view Header(std::string_view name) const;
-  /// Number of headers of that name.
+  /// Returns the number of headers of that name, ignoring case.
   size_t CountHeader(std::string_view name) const;
-  /// The target without its query.
+  /// Returns the target without its query.
   std::string_view Path() const;
 };
 
--- a/include/citronlane/transport/order_sender.h
+++ b/include/citronlane/transport/order_sender.h
@@ -10,35 +10,39 @@
 
 namespace citronlane {
 
-/// Sends orders to engines, each once over a connection of its own that is
-/// closed at the order's end of life. Thread safe.
+/// Sends orders to engines, each once and over a connection of its own, which
+/// is reset when the order completes or expires, so that it can't arrive later.
+/// Thread safe, except Stop and the destructor.
 class OrderSender {
  public:
   enum class Outcome {
     kDone,
-    /// The engine refused the order, or knows a newer fencing number.
+    /// The engine replied with a 4xx status: the order is invalid, or (409) the
+    /// engine knows a newer fencing number.
     kRefused,
-    /// No connection, no answer in time, or an answer that can't be used.
+    /// No connection, no reply in time, or any other reply. The order may have
+    /// been executed.
     kFailed,
   };
   using Done = std::function<void(Outcome)>;
 
   OrderSender();
-  /// Closes what is open; no `done` is called afterwards.
+  /// Calls Stop; no `done` is called afterwards.
   ~OrderSender();
   OrderSender(const OrderSender&) = delete;
   OrderSender& operator=(const OrderSender&) = delete;
 
-  /// Posts `body` as JSON to /v1/orders at `address`:`port`. `done` is called
-  /// once, from the sender's thread, by `until` at the latest.
+  /// Sends `body` as JSON in a POST of /v1/orders to `address`:`port`. `done`
+  /// is called once, from the sender's thread, by `until` at the latest.
+  /// Precondition: Stop was not called.
   void Send(const std::string& address,
             uint16_t port,
             std::string body,
             TimePoint until,
             Done done);
 
-  /// Closes everything and ends the thread; each open `done` gets kFailed. May
-  /// be called twice.
+  /// Closes all connections and ends the thread; orders in flight complete with
+  /// kFailed. May be called again.
   void Stop();
 
  private:
--- a/include/citronlane/transport/replication_codec.h
+++ b/include/citronlane/transport/replication_codec.h
@@ -11,11 +11,12 @@
 class RaftMessage;
 }  // namespace wire
 
-/// Fills `out` with the message, moving its payloads. Thread safe.
+/// Encodes a Raft message into `out`, replacing its contents; payloads are
+/// moved. Thread safe.
 void EncodeMessage(Message message, wire::RaftMessage* out);
 
-/// Takes the message out of `in`, moving its payloads; nothing when a kind is
-/// unknown. Thread safe.
+/// Decodes a Raft message; payloads are moved out of `in`. Returns nothing if
+/// the kind of the message or of an entry is unknown. Thread safe.
 std::optional<Message> DecodeMessage(wire::RaftMessage* in);
 
 }  // namespace citronlane
--- a/include/citronlane/transport/replication_greeting.h
+++ b/include/citronlane/transport/replication_greeting.h
@@ -6,14 +6,15 @@
 
 namespace citronlane {
 
-/// What a control VM says of itself before a cluster is formed.
+/// Description of a control VM that its peers request before a cluster is
+/// formed.
 struct ReplicationGreeting {
   uint64_t node_ = 0;
   uint64_t incarnation_ = 0;
-  /// Whether its disk belongs to a cluster, and the incarnations of that
-  /// cluster's voters. When it does not: the initial voters of its settings,
-  /// each with 0.
+  /// Whether the node's disk belongs to a cluster.
   bool formed_ = false;
+  /// Incarnations by node id: of the cluster's voters, or 0 for each initial
+  /// voter of the node's settings if it belongs to no cluster.
   std::map<uint64_t, uint64_t> incarnations_;
 };
 
--- a/include/citronlane/transport/replication_peer.h
+++ b/include/citronlane/transport/replication_peer.h
@@ -18,30 +18,31 @@
 
 struct ReplicationGreeting;
 
-/// Sends the consensus messages to one other control VM, in order, over one
-/// stream. A message may be lost; then all that are queued are, and the stream
-/// is opened again by a later Send. Thread safe.
+/// Sends Raft messages to one other control VM, in order, over one stream.
+/// Messages may be lost: all that are queued when the stream breaks, and those
+/// that find the queue full. A later Send opens the stream again. Thread safe.
 class ReplicationPeer {
  public:
   using GreetingHook = std::function<void(const ReplicationGreeting& greeting)>;
 
-  /// `own_id` and `own_address` ("IP:port") tell the other node where to
-  /// answer.
+  /// `own_id` and `own_address` ("IP:port") are sent to the other node, so that
+  /// it can reply. `address` is the "IP:port" of the other node.
   ReplicationPeer(uint64_t own_id,
                   std::string own_address,
                   const std::string& address,
                   const std::shared_ptr<grpc::ChannelCredentials>& credentials);
-  /// Cancels what is out and waits for it.
+  /// Cancels the stream and a greeting in flight, and waits for them. Must not
+  /// be called from a GreetingHook.
   ~ReplicationPeer();
   ReplicationPeer(const ReplicationPeer&) = delete;
   ReplicationPeer& operator=(const ReplicationPeer&) = delete;
 
-  /// Queues the messages. Drops them when the peer can not be reached or does
-  /// not keep up.
+  /// Queues the messages and returns at once. They are dropped if the peer
+  /// can't be reached or doesn't keep up.
   void Send(TimePoint now, std::vector<Message> messages);
 
-  /// Asks the peer who it is. `done` runs on a thread of gRPC's, only when an
-  /// answer came.
+  /// Requests the peer's greeting. `done` is called on a gRPC thread, but only
+  /// if the peer replies; ignored while another greeting is in flight.
   void Greet(uint64_t own_incarnation, GreetingHook done);
 
  private:
--- a/include/citronlane/transport/replication_server.h
+++ b/include/citronlane/transport/replication_server.h
@@ -17,29 +17,32 @@
 
 struct ReplicationGreeting;
 
-/// Receives the consensus messages of the other control VMs. Thread safe.
+/// Receives the Raft messages of the other control VMs. Thread safe.
 class ReplicationServer {
  public:
-  /// Called on gRPC's threads, several at once.
+  /// Called on gRPC threads, several at once. All must be set.
   struct Hooks {
+    /// A message arrived.
     std::function<void(Message message)> received_;
-    /// Node `id` answers at `address`.
+    /// Node `id` opened a stream and can be reached at `address`.
     std::function<void(uint64_t id, std::string address)> peer_seen_;
+    /// Returns the greeting of this node.
     std::function<ReplicationGreeting()> greet_;
   };
 
   ReplicationServer(std::string listen,
                     std::shared_ptr<grpc::ServerCredentials> credentials,
                     Hooks hooks);
-  /// Ends the server and waits for its calls.
+  /// Shuts the server down and waits for its calls.
   ~ReplicationServer();
   ReplicationServer(const ReplicationServer&) = delete;
   ReplicationServer& operator=(const ReplicationServer&) = delete;
 
-  /// Binds the address; false and a reason when it is taken. Call once.
+  /// Binds the address and starts serving. Returns false and sets `error` if it
+  /// can't be bound. Call once.
   bool Start(Error* error);
 
-  /// Port it listens on, after Start.
+  /// Returns the bound port. Precondition: Start returned true.
   int port() const;
 
  private:
--- a/include/citronlane/transport/reply_owner.h
+++ b/include/citronlane/transport/reply_owner.h
@@ -3,16 +3,19 @@
 
 namespace citronlane {
 
-/// Whose a backend server's reply is. HTTP pairs replies with calls by their
-/// order on a connection alone, and a server that answers twice breaks it.
+/// The call that a backend server's reply belongs to. HTTP pairs replies with
+/// calls only by their order on a connection, so a server that replies twice to
+/// one call would shift all replies after it.
 enum class ReplyOwner {
   kThisCall,
-  /// Taken for this call's, though nothing in it shows that: its connection is
-  /// not used again.
+  /// The reply is accepted, although nothing in it shows that it belongs to
+  /// this call. Its connection is not reused.
   kAssumed,
-  /// Read past: this call's reply may follow.
+  /// The reply belongs to another call and is skipped; this call's reply may
+  /// follow.
   kOtherCall,
-  /// It can't be told where this call's reply begins or ends.
+  /// It can't be determined where this call's reply begins or ends; the call
+  /// fails.
   kUnclear,
 };
 
--- a/include/citronlane/transport/stage_adapter.h
+++ b/include/citronlane/transport/stage_adapter.h
@@ -12,24 +12,25 @@
 
 namespace citronlane {
 
-/// Writes the calls and reads the replies of each kind of stage, in the shapes
-/// of docs/design/backend-calls.md. Stateless; thread safe.
+/// Formats calls and parses replies for each kind of stage. The JSON formats
+/// are documented in docs/design/backend-calls.md. Immutable; thread safe.
 class StageAdapter {
  public:
-  /// Precondition for all: `kind` is not kService.
+  /// Precondition: `kind` is not kService.
   explicit StageAdapter(StageKind kind);
 
-  /// Path of the call.
+  /// Returns the path of the call.
   std::string_view Target() const;
 
   /// Whether the reply is a stream of tokens.
   bool Streams() const { return kind_ == StageKind::kEngine; }
 
-  /// Writes the JSON body of the call.
+  /// Returns the JSON body of the call.
   std::string WriteCall(const StageAdapterInput& input) const;
 
-  /// Reads a whole reply. Returns nothing and a reason when it has not the
-  /// kind's shape. `before` is what the earlier stages gave. Precondition:
+  /// Parses a complete reply. Returns nothing and sets `error` if it doesn't
+  /// have the format of this kind. `before` is the output of the earlier
+  /// stages; a reranker's reply refers to its documents. Precondition:
   /// Streams() is false.
   std::optional<StageOutput> ReadReply(std::string_view body,
                                        const StageOutput& before,
--- a/include/citronlane/transport/stage_adapter_input.h
+++ b/include/citronlane/transport/stage_adapter_input.h
@@ -10,15 +10,14 @@
 struct StageOutput;
 struct StartCall;
 
-/// All that a stage call is written from. Every pointer is set and outlives
-/// the call of WriteCall.
+/// Input of StageAdapter::WriteCall. Every pointer must be set.
 struct StageAdapterInput {
   const StageConfig* stage_ = nullptr;
   const PipelineInput* input_ = nullptr;
-  /// What the earlier stages gave.
+  /// Output of the earlier stages.
   const StageOutput* before_ = nullptr;
   const StartCall* call_ = nullptr;
-  /// Text of the stream as far as it came, for calls that continue it.
+  /// Text received so far, for calls that continue a stream.
   std::string_view text_;
 };
 
--- a/include/citronlane/transport/stage_call.h
+++ b/include/citronlane/transport/stage_call.h
@@ -3,14 +3,14 @@
 
 namespace citronlane {
 
-/// A call to a backend server in flight. Not thread safe: used on the thread
-/// of its client.
+/// A call of a StageClient to a backend server. Not thread safe: used on the
+/// thread of its client.
 class StageCall {
  public:
   virtual ~StageCall() = default;
 
-  /// Closes the connection; no hook is called from now on. Does nothing when
-  /// the call is over.
+  /// Closes the connection; no hook is called any more. Does nothing if the
+  /// call has ended.
   virtual void Cancel() = 0;
 };
 
--- a/include/citronlane/transport/stage_call_hooks.h
+++ b/include/citronlane/transport/stage_call_hooks.h
@@ -11,26 +11,29 @@
 
 namespace citronlane {
 
-/// What a call tells its owner, on the thread of its client. None is called
-/// after StageCall::Cancel. All must be set, but the `owner_` hooks, and
-/// `data_` for calls that do not stream.
+/// Hooks of one call of a StageClient, called on the client's thread and never
+/// after StageCall::Cancel. owner_ and owner_by_body_ are optional, data_ is
+/// needed for streamed calls only; the others must be set.
 struct StageCallHooks {
-  /// The next step hands the first byte to the socket. False stops the call.
+  /// Called right before the first byte is passed to the socket. Returning
+  /// false ends the call without sending anything.
   std::function<bool()> sending_;
-  /// Whose a reply is, by its head. Optional: without it every reply is this
-  /// call's.
+  /// Decides by its head which call a reply belongs to. Without it, every reply
+  /// belongs to this call.
   std::function<ReplyOwner(const StageReplyHead&)> owner_;
-  /// The same by its whole body, where heads name no call. Optional; not for
-  /// streams, and never kUnclear.
+  /// Decides the same by the complete body, for replies whose head names no
+  /// call. Not used for streamed calls; must not return kUnclear.
   std::function<ReplyOwner(const StageReplyHead&, std::string_view body)>
       owner_by_body_;
-  /// The reply's head is there; called again after a reply that its body showed
-  /// to be another call's. False stops the call.
+  /// The head of the reply was received. Called again if the body then showed
+  /// that the reply belongs to another call. Returning false ends the call
+  /// without done_.
   std::function<bool(const StageReplyHead&)> head_;
-  /// A piece of a streamed body.
+  /// Receives a fragment of a streamed body.
   std::function<void(std::string_view)> data_;
-  /// The call is over; called once unless cancelled. kSuccess: the reply is
-  /// whole, whatever its status. `body` is empty for streams.
+  /// The call has ended. Called once, unless the call was cancelled or ended by
+  /// another hook. kSuccess means that a complete reply was received, whatever
+  /// its status. `body` is empty for streamed calls.
   std::function<void(CallOutcome, std::string body)> done_;
 };
 
--- a/include/citronlane/transport/stage_call_spec.h
+++ b/include/citronlane/transport/stage_call_spec.h
@@ -11,39 +11,41 @@
 
 namespace citronlane {
 
-/// One HTTP call to a backend server.
+/// Parameters of one HTTP call to a backend server.
 struct StageCallSpec {
-  /// IP number and port.
+  /// IP address and port of the server.
   std::string address_;
   uint16_t port_ = 0;
   std::string method_ = "POST";
   std::string target_;
-  /// Value of Host; the address and port when empty.
+  /// Value of the Host header; address and port if empty.
   std::string host_;
-  /// Besides Host, Content-Length and Connection. Values hold no line ends.
+  /// Headers other than Host, Content-Length and Connection. Must not contain
+  /// line ends.
   std::vector<HttpHeader> headers_;
   std::string body_;
-  /// Where replies name their call in X-Attempt-Id: the connection is kept only
-  /// after a reply that names this one.
+  /// Id of this call if the server echoes X-Attempt-Id: the connection is then
+  /// kept only after a reply that echoes this id. Empty if it doesn't.
   std::string attempt_id_;
-  /// Kept connections are shared by calls of one group only: replies that name
-  /// no call can be told apart within it, not beyond.
+  /// Kept connections are reused only by calls of the same group, within which
+  /// replies without an id can still be matched to their calls.
   std::string connection_group_;
-  /// The call may not repeat: never on a kept-alive connection, which the
-  /// server may close just as the call arrives.
+  /// Uses a new connection and doesn't keep it. For calls that must not be
+  /// repeated: the server may close an idle connection just as the call
+  /// arrives.
   bool fresh_connection_ = false;
-  /// A kept-alive connection that has been idle for this long is not used;
-  /// with 0 a new one is made, and kept afterwards.
-  std::optional<Duration> longest_idle_;
-  /// Body is given piece by piece instead of whole.
+  /// A kept connection that was idle for at least this long is not used. With
+  /// 0, the call uses a new connection, which is kept afterwards.
+  std::optional<Duration> max_idle_time_;
+  /// Whether the body is passed to data_ in fragments instead of to done_.
   bool streams_ = false;
   TimePoint deadline_{};
-  /// Longest silence once the body has begun; at most the client's limit,
-  /// which holds when there is none.
+  /// Maximum time without a byte once the body has begun. The limit of the
+  /// client, StageLimits::read_timeout_, applies in any case.
   std::optional<Duration> silence_limit_;
-  /// The silence limit holds before the body begins, too: the server has
-  /// nothing to compute first.
-  bool answers_at_once_ = false;
+  /// Whether the silence limit applies before the body begins, too, because the
+  /// server has nothing to compute first.
+  bool replies_immediately_ = false;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/transport/stage_client.h
+++ b/include/citronlane/transport/stage_client.h
@@ -15,9 +15,10 @@
 
 namespace citronlane {
 
-/// Calls backend servers over kept-alive connections, one pool a server. It
-/// never sends a call twice: whoever owns the call decides. Not thread safe:
-/// used on the one thread that runs the io_context.
+/// HTTP/1.1 client for calls to backend servers, with a pool of kept-alive
+/// connections per server. It sends each call at most once; retries are the
+/// decision of whoever starts the call. Not thread safe: used on the one thread
+/// that runs the io_context.
 class StageClient {
  public:
   /// `io` must outlive the client.
@@ -26,10 +27,11 @@
   StageClient(const StageClient&) = delete;
   StageClient& operator=(const StageClient&) = delete;
 
-  /// Starts a call. The hooks are first called after Start has returned.
+  /// Starts a call. If called on the thread that runs the io_context, hooks may
+  /// be called before Start returns.
   std::shared_ptr<StageCall> Start(StageCallSpec spec, StageCallHooks hooks);
 
-  /// Connections kept alive now.
+  /// Number of idle connections that are kept.
   size_t idle_connections() const;
 
  private:
--- a/include/citronlane/transport/stage_limits.h
+++ b/include/citronlane/transport/stage_limits.h
@@ -8,17 +8,18 @@
 
 namespace citronlane {
 
-/// What one call to a backend server may cost at most.
+/// Limits of the calls to backend servers.
 struct StageLimits {
+  /// Maximum size of a reply's header.
   uint32_t reply_header_bytes_ = 16 * 1024;
-  /// Bytes of a reply's body; a longer one is an error of the attempt.
+  /// Maximum size of a reply's body; a larger one fails the call.
   uint64_t reply_body_bytes_ = 4ULL * 1024 * 1024;
   Duration connect_timeout_ = std::chrono::milliseconds(500);
-  /// Longest silence within a reply whose body has begun.
+  /// Maximum time without a byte once the body of a reply has begun.
   Duration read_timeout_ = std::chrono::seconds(1);
-  /// Kept-alive connections per server and thread.
+  /// Maximum number of idle connections per server and client.
   size_t idle_connections_ = 64;
-  /// A kept-alive connection unused for longer is not used again.
+  /// An idle connection is not reused after this time.
   Duration idle_timeout_ = std::chrono::seconds(30);
 };
 
--- a/include/citronlane/transport/stage_reply_head.h
+++ b/include/citronlane/transport/stage_reply_head.h
@@ -13,18 +13,19 @@
 /// Status and headers of a backend server's reply.
 struct StageReplyHead {
   int status_ = 0;
-  /// X-Attempt-Id; empty when there is none.
+  /// Value of X-Attempt-Id; empty if there is none.
   std::string echoed_id_;
-  /// X-Load and X-Load-Age-Ms.
+  /// Values of X-Load, if it is valid, and X-Load-Age-Ms.
   std::optional<double> load_;
   Duration load_age_{};
-  /// X-Draining: the server is leaving.
+  /// Whether X-Draining is 1: the server is draining.
   bool draining_ = false;
-  /// A status line stands within the head: an unfinished reply ran into the
-  /// next one, and it can't be told which header is whose.
-  bool is_two_in_one_ = false;
-  /// The connection had carried other calls before: what comes in on it may
-  /// answer one of them.
+  /// Whether the head contains a second status line or X-Attempt-Id: an
+  /// incomplete reply ran into the next one, and it can't be determined which
+  /// header belongs to which.
+  bool is_merged_ = false;
+  /// Whether the connection was used for other calls before, so that the reply
+  /// may belong to one of them.
   bool kept_connection_ = false;
   std::vector<HttpHeader> headers_;
 };
--- a/include/citronlane/transport/stage_token_reader.h
+++ b/include/citronlane/transport/stage_token_reader.h
@@ -10,20 +10,22 @@
 
 namespace citronlane {
 
-/// Reads an engine's server-sent events piece by piece. Not thread safe.
+/// Incremental parser for the tokens in an engine's stream of server-sent
+/// events. Not thread safe.
 class StageTokenReader {
  public:
-  /// Takes one token; false stops the reading.
+  /// Receives one token; returning false stops the parser.
   using TokenHook = std::function<bool(const Token&)>;
 
-  /// `max_event_bytes` bounds one event.
+  /// `max_event_bytes` limits the size of an incomplete line that is buffered.
   StageTokenReader(size_t max_event_bytes, TokenHook on_token);
 
-  /// Takes the next piece. Returns false when the stream is malformed or the
-  /// hook said to stop.
-  bool Feed(std::string_view piece);
+  /// Parses the next fragment of the stream. Returns false if the stream is
+  /// malformed, continues after `[DONE]` or the hook returned false; the reader
+  /// must not be used afterwards.
+  bool Feed(std::string_view fragment);
 
-  /// Whether `data: [DONE]` was read.
+  /// Whether `data: [DONE]` was received.
   bool done() const { return done_; }
 
  private:
--- a/include/citronlane/transport/tls_files.h
+++ b/include/citronlane/transport/tls_files.h
@@ -5,12 +5,14 @@
 
 namespace citronlane {
 
-/// PEM files of one side of a TLS connection. With an empty certificate the
-/// side speaks plain TCP.
+/// Paths of the PEM files of one side of a TLS connection. Without a
+/// certificate, this side uses plain TCP.
 struct TlsFiles {
   std::string certificate_;
   std::string private_key_;
-  /// Certificates the other side must be signed by; empty asks for none.
+  /// CA certificates that must have signed the certificate of the other side.
+  /// Empty: a server requires no client certificate, a client accepts
+  /// certificates of gRPC's default CAs.
   std::string ca_;
 };
 
--- a/include/citronlane/transport/vm_list_client.h
+++ b/include/citronlane/transport/vm_list_client.h
@@ -12,20 +12,23 @@
 
 namespace citronlane {
 
-/// Reads the platform's list of live and leaving VMs. Thread safe.
+/// Requests the list of running and draining VMs from the platform. Thread
+/// safe.
 class VmListClient {
  public:
+  /// States by VM id.
   using States = std::map<std::string, ServerState>;
 
   /// `address` is "IP:port" of the platform.
   explicit VmListClient(std::string address);
 
-  /// Asks for the list, at most `limit` long. Nothing and a reason when there
-  /// is no list that can be used.
+  /// Requests the list and blocks until it is received, with `limit` as the
+  /// timeout for connecting and for the reply. Returns nothing and sets `error`
+  /// if there is no valid list.
   std::optional<States> Get(Duration limit, Error* error) const;
 
-  /// Reads the body of an answer; a state that is not known counts as live, an
-  /// entry without an id is a fault.
+  /// Parses the body of a reply. An unknown state counts as running. An entry
+  /// without id or state, or with an invalid incarnation, is an error.
   static std::optional<States> Parse(std::string_view body, Error* error);
 
  private:
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -116,9 +116,10 @@
         PLATFORM + "RequestTest.test_server_error_is_passed_on_unchanged",
         "unit-stages: stage results"]),
     ("MIXED: a server's late or second reply reaches no other request", [
-        "unit-reply-identity: a late second reply is nobody's",
-        "unit-reply-identity: a reply shows that it is the request's own",
-        "unit-reply-identity: a stage call takes no other call's results",
+        "unit-reply-identity: a late second reply is discarded",
+        "unit-reply-identity: a reply must show that it belongs to the "
+        "request",
+        "unit-reply-identity: a stage call accepts no other call's results",
         "unit-reply-identity: a stage reply that names no result is the last "
         "on its connection",
         "unit-stages: replies to a pool's calls"]),
--- a/src/gateway/request_driver.cc
+++ b/src/gateway/request_driver.cc
@@ -264,8 +264,8 @@
   };
   StageCallSpec spec = MakeSpec(*call, command);
   if (spec.streams_) {
-    hooks.data_ = [self, call](std::string_view piece) {
-      self->OnData(call, piece);
+    hooks.data_ = [self, call](std::string_view fragment) {
+      self->OnData(call, fragment);
     };
     call->reader_ = std::make_unique<StageTokenReader>(
         kMaxEventBytes, [this, raw = std::weak_ptr<detail::InFlightCall>(call)](
@@ -301,7 +301,7 @@
   spec.deadline_ = call.deadline_;
   if (spec.streams_) {
     spec.silence_limit_ = call.pool_->StreamStallTimeout();
-    spec.answers_at_once_ = command.mode_ == CallMode::kResume;
+    spec.replies_immediately_ = command.mode_ == CallMode::kResume;
   }
   const auto left = std::max(Duration(0), call.deadline_ - call.started_);
   spec.attempt_id_ = command.attempt_.ToHeader();
--- a/src/gateway/request_driver_replies.cc
+++ b/src/gateway/request_driver_replies.cc
@@ -67,8 +67,8 @@
 }
 
 void RequestDriver::OnData(const InFlightCallPtr& call,
-                           std::string_view piece) {
-  const bool usable = call->reader_->Feed(piece);
+                           std::string_view fragment) {
+  const bool usable = call->reader_->Feed(fragment);
   if (!usable && !call->ended_) {
     call->stage_call_->Cancel();
     FailCall(call, CallOutcome::kServerError);
--- a/src/transport/admin_server.cc
+++ b/src/transport/admin_server.cc
@@ -37,7 +37,8 @@
   return value == nullptr ? std::string() : std::string(value);
 }
 
-/// Takes one request at a time; the server's threads each use their own.
+/// Reads one request at a time and responds to it. Each thread of the server
+/// uses its own responder.
 class HookResponder final : public cxxtools::http::Responder {
  public:
   HookResponder(cxxtools::http::Service& service,
@@ -52,8 +53,8 @@
     is_cut_ = false;
   }
 
-  // Keeps what fits; the rest is read and dropped, so that the caller gets an
-  // answer.
+  // Reads the body to its end, but keeps at most kMaxBodyBytes, so that the
+  // caller of a too large request gets a response.
   std::size_t readBody(std::istream& in) override {
     std::array<char, kReadBytes> bytes{};
     const std::streamsize count = in.readsome(bytes.data(), bytes.size());
@@ -96,8 +97,8 @@
   bool is_cut_ = false;
 };
 
-/// Calls the handler until it is closed; from then on nothing of the owner is
-/// touched.
+/// Calls the handler until it is closed. After that, requests get status 503
+/// and nothing of the handler's owner is accessed.
 class HandlerGate {
  public:
   explicit HandlerGate(AdminServer::Handler handler)
@@ -112,7 +113,7 @@
     }
     return handler_(request);
   }
-  /// Returns once no call is in the handler.
+  /// Returns when no call is in the handler.
   void Close() {
     const std::unique_lock lock(mutex_);
     is_closed_ = true;
@@ -149,7 +150,7 @@
   const AdminServer::Handler call_;
 };
 
-/// What the library's threads use. They keep it alive when they do not end.
+/// State used by the library's threads. Leaked if they don't end; see Stop.
 struct ServerState {
   explicit ServerState(AdminServer::Handler handler)
       : service_(std::move(handler)) {}
@@ -195,8 +196,8 @@
     return true;
   }
 
-  // After a failed TLS handshake the library's threads may wait for each other
-  // for ever. They are left behind then, together with what they use.
+  // After a failed TLS handshake the library's threads may deadlock. They are
+  // then detached, and the state that they use is leaked.
   void Stop() {
     if (!thread_.joinable()) {
       return;
--- a/src/transport/config_feed.cc
+++ b/src/transport/config_feed.cc
@@ -10,7 +10,7 @@
 namespace citronlane {
 namespace {
 
-/// Updates that may wait for one watcher.
+/// Maximum number of unsent updates of one watcher.
 constexpr size_t kMaxQueued = 64;
 
 std::shared_ptr<const grpc::ByteBuffer> Serialize(
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-/// One watcher's stream; deletes itself at its end.
+/// The stream of one watcher; deletes itself when it has ended.
 class ConfigFeed::WatchStream final : public Stream {
  public:
   explicit WatchStream(ConfigFeed* feed) : feed_(feed) {}
@@ -58,14 +58,14 @@
       return;
     }
     if (!ok) {
-      End(grpc::StatusCode::UNAVAILABLE, "The watcher is gone.");
+      End(grpc::StatusCode::UNAVAILABLE, "The watcher has disconnected.");
     } else if (!queue_.empty()) {
       StartWrite(queue_.front().get());
     }
   }
 
   void OnCancel() override {
-    Stop(grpc::StatusCode::CANCELLED, "The watcher is gone.");
+    Stop(grpc::StatusCode::CANCELLED, "The watcher has disconnected.");
   }
 
   void OnDone() override {
@@ -74,7 +74,7 @@
   }
 
  private:
-  // Precondition: mutex_ is held, and this is the first call.
+  // Preconditions: mutex_ is held; not called before.
   void End(grpc::StatusCode code, const char* reason) {
     is_over_ = true;
     Finish(grpc::Status(code, reason));
@@ -120,7 +120,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   catch_ups_.clear();
   for (WatchStream* stream : streams_) {
-    stream->Stop(grpc::StatusCode::UNAVAILABLE, "The stream starts anew.");
+    stream->Stop(grpc::StatusCode::UNAVAILABLE, "The stream is restarted.");
   }
 }
 
--- a/src/transport/config_holder.cc
+++ b/src/transport/config_holder.cc
@@ -12,10 +12,13 @@
 namespace citronlane {
 namespace {
 
-/// The node we watch is asked at each tick, others at every second one.
+/// The lease is renewed at the watched node in each tick, at others in every
+/// second one.
 constexpr uint64_t kTicksPerRound = 2;
-/// Below this part of its length, a lease is renewed at all nodes.
-constexpr int kShortLease = 2;
+/// The lease is renewed at all nodes once less than its length divided by this
+/// is left.
+constexpr int kRenewAllDivisor = 2;
+/// Upper bound of behind_limit_.
 constexpr Duration kMaxBehindLimit = std::chrono::seconds(8);
 
 }  // namespace
@@ -27,12 +30,13 @@
       hooks_(hooks),
       on_unregistered_(std::move(on_unregistered)),
       lease_(link->options_.lease_),
-      watcher_(link,
-               {[this](const wire::ConfigUpdate& update) { OnUpdate(update); },
-                [this] { return need_whole_ ? 0 : follower_.version(); },
-                [this](const std::string& address) {
-                  Log("Control VM " + address + " is left.");
-                }}),
+      watcher_(
+          link,
+          {[this](const wire::ConfigUpdate& update) { OnUpdate(update); },
+           [this] { return need_full_document_ ? 0 : follower_.version(); },
+           [this](const std::string& address) {
+             Log("Stopped watching control VM " + address + ".");
+           }}),
       renewer_(link,
                {[this](const wire::LeaseReply& reply, TimePoint sent) {
                   OnReply(reply, sent);
@@ -55,13 +59,13 @@
   }
   const uint64_t version = lease_.version();
   const Duration left = lease_.valid_until() - SteadyNow();
-  if (left < link_->options_.lease_ / kShortLease) {
-    renewer_.AskAll(version);
+  if (left < link_->options_.lease_ / kRenewAllDivisor) {
+    renewer_.RenewAtAll(version);
   } else {
-    renewer_.AskUntold(version);
-    renewer_.Ask(watcher_.address(), version);
+    renewer_.RenewAtOutdated(version);
+    renewer_.Renew(watcher_.address(), version);
     if (ticks_++ % kTicksPerRound == 0) {
-      renewer_.AskOthers(watcher_.address(), voters_ / 2, version);
+      renewer_.RenewAtOthers(watcher_.address(), voter_count_ / 2, version);
     }
   }
   CheckBehind();
@@ -69,12 +73,12 @@
 }
 
 void ConfigHolder::OnUpdate(const wire::ConfigUpdate& update) {
-  TellServers(update);
+  ReportServers(update);
   Error error;
   std::shared_ptr<const ClusterConfig> config = follower_.Apply(update, &error);
   if (!error.message_.empty()) {
-    Log("An update is refused: " + error.message_);
-    need_whole_ = true;
+    Log("Configuration update rejected: " + error.message_);
+    need_full_document_ = true;
     link_->timers_.After(link_->options_.retry_delay_,
                          [this] { watcher_.Restart(); });
     return;
@@ -82,16 +86,16 @@
   if (!config) {
     return;
   }
-  need_whole_ = false;
+  need_full_document_ = false;
   const uint64_t version = config->version_;
   if (hooks_.on_config_) {
     hooks_.on_config_(std::move(config));
   }
   lease_.Accept(version);
   behind_limit_ = link_->options_.watch_timeout_;
-  TellLease();
-  // The control VMs learn at once that the version is in force here.
-  renewer_.AskAll(version);
+  ReportLease();
+  // Notifies the control VMs at once that the version is in force here.
+  renewer_.RenewAtAll(version);
 }
 
 void ConfigHolder::OnReply(const wire::LeaseReply& reply, TimePoint sent) {
@@ -109,15 +113,16 @@
   if (!reply.voter()) {
     return;
   }
-  voters_ = static_cast<size_t>(reply.voters_size());
-  newest_seen_ = std::max(newest_seen_, reply.newest_version());
+  voter_count_ = static_cast<size_t>(reply.voters_size());
+  newest_voter_version_ =
+      std::max(newest_voter_version_, reply.newest_version());
   LeaseVote vote;
   vote.node_ = reply.node();
   vote.voters_.assign(reply.voters().begin(), reply.voters().end());
   vote.newest_version_ = reply.newest_version();
   vote.sent_ = sent;
   lease_.OnVote(vote);
-  TellLease();
+  ReportLease();
 }
 
 void ConfigHolder::OnProbe(const std::string& address, bool answered) {
@@ -125,13 +130,13 @@
     return;
   }
   if (address == watcher_.address()) {
-    watcher_.MoveOn();
+    watcher_.SwitchNode();
   }
-  // Another node has to make the majority.
-  renewer_.AskOthers(address, voters_ / 2, lease_.version());
+  // The majority has to be formed with other nodes.
+  renewer_.RenewAtOthers(address, voter_count_ / 2, lease_.version());
 }
 
-void ConfigHolder::TellServers(const wire::ConfigUpdate& update) const {
+void ConfigHolder::ReportServers(const wire::ConfigUpdate& update) const {
   for (const wire::LeavingServer& server : update.leaving()) {
     const auto& hook = server.live() ? hooks_.on_live_ : hooks_.on_leaving_;
     if (hook) {
@@ -140,27 +145,28 @@
   }
 }
 
-void ConfigHolder::TellLease() {
-  if (lease_.valid_until() > told_until_) {
-    told_until_ = lease_.valid_until();
+void ConfigHolder::ReportLease() {
+  if (lease_.valid_until() > reported_until_) {
+    reported_until_ = lease_.valid_until();
     if (hooks_.on_lease_) {
-      hooks_.on_lease_(told_until_);
+      hooks_.on_lease_(reported_until_);
     }
   }
 }
 
-// A node that is cut off from the others goes on answering with what it has.
-// The wait doubles, since the newest version may be one that never commits.
+// Switches nodes if the watched one doesn't deliver a version that a voter has
+// reported: a node that is partitioned from the others still replies. The limit
+// doubles each time, since the newest version may never be committed.
 void ConfigHolder::CheckBehind() {
   const TimePoint now = SteadyNow();
-  if (newest_seen_ <= lease_.version()) {
+  if (newest_voter_version_ <= lease_.version()) {
     behind_since_ = now;
     return;
   }
   if (now - behind_since_ > behind_limit_) {
     behind_since_ = now;
     behind_limit_ = std::min(2 * behind_limit_, kMaxBehindLimit);
-    watcher_.MoveOn();
+    watcher_.SwitchNode();
   }
 }
 
--- a/src/transport/config_watcher.cc
+++ b/src/transport/config_watcher.cc
@@ -8,7 +8,7 @@
 
 namespace citronlane {
 
-/// One stream. Holds itself until gRPC is done with it.
+/// One stream. Owns itself until gRPC has finished with it.
 class ConfigWatcher::Session final
     : public grpc::ClientReadReactor<wire::ConfigUpdate>,
       public std::enable_shared_from_this<Session> {
@@ -35,8 +35,8 @@
     if (!ok) {
       return;
     }
-    // The next update is read once this one is in force, so that at most one
-    // waits.
+    // The next update is read when this one is in force, so that at most one is
+    // pending.
     AddHold();
     link_->timers_.Post([self = shared_from_this()] {
       self->watcher_->OnUpdate(self->serial_, self->update_);
@@ -68,7 +68,7 @@
 ConfigWatcher::ConfigWatcher(ControlLink* link, Hooks hooks)
     : link_(link), hooks_(std::move(hooks)) {
   const std::string& name = link->options_.gateway_;
-  // Spreads the gateways over the control VMs.
+  // Distributes the gateways over the control VMs.
   next_ = XXH64(name.data(), name.size(), link->options_.incarnation_);
 }
 
@@ -76,14 +76,14 @@
   Open();
 }
 
-void ConfigWatcher::MoveOn() {
-  hooks_.on_left_(address_);
-  Leave();
+void ConfigWatcher::SwitchNode() {
+  hooks_.on_switch_(address_);
+  CloseSession();
   Open();
 }
 
 void ConfigWatcher::Restart() {
-  Leave();
+  CloseSession();
   --next_;
   Open();
 }
@@ -109,12 +109,12 @@
   const uint64_t ended = serial_;
   link_->timers_.After(link_->options_.retry_delay_, [this, ended] {
     if (ended == serial_ && !link_->calls_.is_stopping()) {
-      MoveOn();
+      SwitchNode();
     }
   });
 }
 
-void ConfigWatcher::Leave() {
+void ConfigWatcher::CloseSession() {
   ++serial_;
   if (session_) {
     session_->Cancel();
--- a/src/transport/connection_pool.cc
+++ b/src/transport/connection_pool.cc
@@ -17,8 +17,8 @@
 using Connection = StageConnection;
 using ConnectionPtr = std::unique_ptr<StageConnection>;
 
-/// Whether the server closed an idle connection, or sent what nobody asked
-/// for.
+/// Whether the server has closed an idle connection or sent unexpected bytes on
+/// it.
 bool IsStale(Connection* connection) {
   auto& socket = connection->stream_.socket();
   error_code error;
@@ -34,13 +34,13 @@
     : io_(io), limits_(limits) {}
 
 ConnectionPtr ConnectionPool::TakeIdle(const std::string& key,
-                                       Duration longest_idle) {
+                                       Duration max_idle_time) {
   std::vector<ConnectionPtr>& idle = idle_[key];
   while (!idle.empty()) {
     const Connection& last = *idle.back();
     const Duration age = SteadyNow() - last.idle_since_;
-    if (age >= longest_idle && age < limits_.idle_timeout_) {
-      // Another call may still use it.
+    if (age >= max_idle_time && age < limits_.idle_timeout_) {
+      // A call with a higher limit may still use it.
       return nullptr;
     }
     ConnectionPtr connection = std::move(idle.back());
@@ -53,9 +53,8 @@
   return nullptr;
 }
 
-void ConnectionPool::GiveBack(const std::string& key,
-                              ConnectionPtr connection) {
-  CloseAged();
+void ConnectionPool::PutIdle(const std::string& key, ConnectionPtr connection) {
+  CloseExpired();
   std::vector<ConnectionPtr>& idle = idle_[key];
   if (idle.size() < limits_.idle_connections_) {
     connection->idle_since_ = SteadyNow();
@@ -72,14 +71,14 @@
   return count;
 }
 
-// Servers come and go: connections that nobody asks for any more are closed
-// too, now and then.
-void ConnectionPool::CloseAged() {
+// Closes expired connections of all servers from time to time, because those of
+// removed servers are not requested any more.
+void ConnectionPool::CloseExpired() {
   const TimePoint now = SteadyNow();
-  if (now < next_close_) {
+  if (now < next_expiry_check_) {
     return;
   }
-  next_close_ = now + limits_.idle_timeout_;
+  next_expiry_check_ = now + limits_.idle_timeout_;
   for (auto entry = idle_.begin(); entry != idle_.end();) {
     std::vector<ConnectionPtr>& idle = entry->second;
     idle.erase(std::remove_if(idle.begin(), idle.end(),
--- a/src/transport/control_channels.cc
+++ b/src/transport/control_channels.cc
@@ -20,10 +20,11 @@
   arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, kMinBackoffMs);
   arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, kMinBackoffMs);
   arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, kMaxBackoffMs);
-  // Messages are small: probing for bandwidth would cost more than they do.
+  // Messages are small, so that bandwidth probes would cost more than they do.
   arguments.SetInt(GRPC_ARG_HTTP2_BDP_PROBE, 0);
   arguments.SetMaxReceiveMessageSize(kMaxMessageBytes);
-  // Two clients of one process do not share a connection: each is a gateway.
+  // Clients in the same process must not share a connection, since each is a
+  // gateway of its own.
   arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
   return arguments;
 }
@@ -54,7 +55,7 @@
     Error error;
     auto credentials = MakeChannelCredentials(tls_, &error);
     if (!credentials) {
-      // A connection without a usable certificate fails each of its calls.
+      // Without usable TLS files all calls on the channel fail.
       credentials = grpc::SslCredentials(grpc::SslCredentialsOptions());
     }
     stub = wire::Control::NewStub(
--- a/src/transport/control_client.cc
+++ b/src/transport/control_client.cc
@@ -23,11 +23,11 @@
 using FinishCall = LeaderCall<wire::FinishClaimRequest, wire::FinishClaimReply>;
 using Result = ClaimAnswer::Result;
 
-/// An answer is offered to control for this long, also after its caller was
-/// told that it is not stored yet: until then the key stays running.
-constexpr Duration kFinishPersistence = std::chrono::hours(1);
+/// How long storing an answer is retried, also after finish_timeout_. The key
+/// counts as running until it succeeds.
+constexpr Duration kFinishRetryLimit = std::chrono::hours(1);
 
-/// Calls a `done` once. Thread safe.
+/// Calls a callback at most once. Thread safe.
 class OnceDone {
  public:
   explicit OnceDone(ControlClient::Done done) : done_(std::move(done)) {}
@@ -106,11 +106,11 @@
   ClaimAnswer OnClaim(const ClaimQuery& query,
                       uint64_t claim_id,
                       const std::optional<wire::ClaimReply>& reply);
-  uint64_t TakeGranted(const ClaimQuery& query);
-  wire::FinishClaimRequest FinishRequest(const ClaimQuery& query,
-                                         uint64_t claim_id) const;
+  uint64_t RemoveGranted(const ClaimQuery& query);
+  wire::FinishClaimRequest MakeReleaseRequest(const ClaimQuery& query,
+                                              uint64_t claim_id) const;
   void SendFinish(const wire::FinishClaimRequest& request, Done done);
-  bool Enter();
+  bool ReservePending();
 
   const ControlClientHooks hooks_;
   ControlLink link_;
@@ -120,7 +120,7 @@
   std::atomic<uint64_t> last_claim_id_{0};
   std::atomic<size_t> pending_{0};
   std::mutex mutex_;
-  /// Claim ids of the keys granted here and not given back.
+  /// Claim ids of the keys that were granted here and not finished or released.
   std::map<Key, uint64_t> granted_;
 };
 
@@ -157,7 +157,7 @@
 }
 
 void ControlClient::Impl::Claim(const ClaimQuery& query, ClaimDone done) {
-  if (!Enter()) {
+  if (!ReservePending()) {
     done(ClaimAnswer());
     return;
   }
@@ -194,9 +194,9 @@
     const std::optional<wire::ClaimReply>& reply) {
   ClaimAnswer answer;
   if (!reply) {
-    // It may be granted all the same; the request does not run, so the key is
-    // given back.
-    SendFinish(FinishRequest(query, claim_id), [](bool /*done*/) {});
+    // The claim may have been granted nevertheless. The request doesn't run, so
+    // the key is released.
+    SendFinish(MakeReleaseRequest(query, claim_id), [](bool /*done*/) {});
     return answer;
   }
   answer.result_ = ResultOf(reply->result());
@@ -216,7 +216,8 @@
 void ControlClient::Impl::Finish(const ClaimQuery& query,
                                  const StoredAnswer& answer,
                                  Done done) {
-  wire::FinishClaimRequest request = FinishRequest(query, TakeGranted(query));
+  wire::FinishClaimRequest request =
+      MakeReleaseRequest(query, RemoveGranted(query));
   request.set_release(false);
   request.set_status(static_cast<uint32_t>(answer.status_));
   request.set_content_type(answer.content_type_);
@@ -225,10 +226,10 @@
 }
 
 void ControlClient::Impl::Release(const ClaimQuery& query, Done done) {
-  SendFinish(FinishRequest(query, TakeGranted(query)), std::move(done));
+  SendFinish(MakeReleaseRequest(query, RemoveGranted(query)), std::move(done));
 }
 
-uint64_t ControlClient::Impl::TakeGranted(const ClaimQuery& query) {
+uint64_t ControlClient::Impl::RemoveGranted(const ClaimQuery& query) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = granted_.find({query.account_, query.key_});
   if (found == granted_.end()) {
@@ -239,8 +240,8 @@
   return claim_id;
 }
 
-// A request that gives the key back.
-wire::FinishClaimRequest ControlClient::Impl::FinishRequest(
+// Finish sets release to false and adds the answer.
+wire::FinishClaimRequest ControlClient::Impl::MakeReleaseRequest(
     const ClaimQuery& query,
     uint64_t claim_id) const {
   wire::FinishClaimRequest request;
@@ -254,7 +255,7 @@
 
 void ControlClient::Impl::SendFinish(const wire::FinishClaimRequest& request,
                                      Done done) {
-  if (!Enter()) {
+  if (!ReservePending()) {
     done(false);
     return;
   }
@@ -268,7 +269,7 @@
         stub->async()->FinishClaim(context, sent, reply, std::move(status));
       },
       [](const wire::FinishClaimReply& reply) { return reply.committed(); },
-      SteadyNow() + kFinishPersistence,
+      SteadyNow() + kFinishRetryLimit,
       [this, once](const std::optional<wire::FinishClaimReply>& reply) {
         --pending_;
         once->Call(reply && reply->done());
@@ -302,7 +303,7 @@
   });
 }
 
-bool ControlClient::Impl::Enter() {
+bool ControlClient::Impl::ReservePending() {
   if (pending_.fetch_add(1) >= link_.options_.max_pending_) {
     --pending_;
     return false;
--- a/src/transport/control_service.cc
+++ b/src/transport/control_service.cc
@@ -19,7 +19,7 @@
 constexpr int kKeepaliveTimeoutMs = 10000;
 constexpr std::chrono::seconds kShutdownTime(2);
 
-// Watch writes bytes that are serialised already.
+// Watch is a raw method because ConfigFeed serializes the updates itself.
 using Base = wire::Control::WithRawCallbackMethod_Watch<
     wire::Control::WithCallbackMethod_Register<
         wire::Control::WithCallbackMethod_RenewLease<
@@ -37,7 +37,7 @@
                             const grpc::ByteBuffer* bytes) override {
     grpc::ByteBuffer copy(*bytes);
     wire::WatchRequest request;
-    // A request that can't be read is one of a watcher that holds nothing.
+    // A malformed request counts as one of a watcher without a configuration.
     grpc::SerializationTraits<wire::WatchRequest>::Deserialize(&copy, &request);
     return hooks_.watch_(request);
   }
@@ -83,7 +83,7 @@
     if (pending_.fetch_add(1) >= max_pending_) {
       --pending_;
       reactor->Finish(grpc::Status(grpc::StatusCode::RESOURCE_EXHAUSTED,
-                                   "Too many calls wait."));
+                                   "Too many calls are pending."));
       return reactor;
     }
     call(request, [this, reactor, reply](const Reply& result) {
--- a/src/transport/http_connection.cc
+++ b/src/transport/http_connection.cc
@@ -22,7 +22,7 @@
 
 constexpr size_t kFirstReadBytes = 4096;
 constexpr unsigned kHttp11 = 11;
-/// What a refused caller may still send while it reads the refusal.
+/// How much a refused caller may still send while it receives the refusal.
 constexpr size_t kLingerBytes = size_t{4} * 1024 * 1024;
 constexpr auto kLingerTime = std::chrono::seconds(1);
 
@@ -43,8 +43,8 @@
   return request;
 }
 
-/// Whether another reader could take the request's end for somewhere else: the
-/// only coding is "chunked", written once and alone.
+/// Whether another HTTP parser could find a different end of the request. The
+/// only accepted transfer coding is a single "chunked".
 template <typename Message>
 bool HasUnclearFraming(const Message& message) {
   const auto [begin, end] = message.equal_range(http::field::transfer_encoding);
@@ -107,14 +107,14 @@
   }
 }
 
-// Callers pair answers with requests by their order: a second one would be the
-// answer to the next request, and each one after it the next one's.
-bool HttpConnection::BeginAnswer(Answer answer) {
-  if (answer_ != Answer::kNone) {
+// Callers pair responses with requests by their order. A second response would
+// be taken for that to the next request, and shift all later ones.
+bool HttpConnection::BeginResponse(ResponseState state) {
+  if (response_state_ != ResponseState::kNone) {
     ReportMisuse("answered twice");
     return false;
   }
-  answer_ = answer;
+  response_state_ = state;
   return true;
 }
 
@@ -125,35 +125,35 @@
 }
 
 bool HttpConnection::Reply(const HttpReply& reply) {
-  if (!BeginAnswer(Answer::kWhole)) {
+  if (!BeginResponse(ResponseState::kComplete)) {
     return false;
   }
   UpdateKeepAlive();
-  return Send(WholeReplyText(reply, keep_alive_, head_request_));
+  return Send(CompleteReplyText(reply, keep_alive_, head_request_));
 }
 
 bool HttpConnection::StartStream(const HttpReply& head) {
-  if (!BeginAnswer(Answer::kStreaming)) {
+  if (!BeginResponse(ResponseState::kStreaming)) {
     return false;
   }
   UpdateKeepAlive();
   stream_has_body_ = MayHaveBody(head.status_, head_request_);
   return Send(stream_has_body_ ? StreamHeadText(head, keep_alive_)
-                               : WholeReplyText(head, keep_alive_, true));
+                               : CompleteReplyText(head, keep_alive_, true));
 }
 
 bool HttpConnection::Write(std::string_view bytes) {
-  if (answer_ != Answer::kStreaming) {
+  if (response_state_ != ResponseState::kStreaming) {
     return false;
   }
   return bytes.empty() || !stream_has_body_ || Send(ChunkText(bytes));
 }
 
 bool HttpConnection::EndStream() {
-  if (answer_ != Answer::kStreaming) {
+  if (response_state_ != ResponseState::kStreaming) {
     return false;
   }
-  answer_ = Answer::kWhole;
+  response_state_ = ResponseState::kComplete;
   return !stream_has_body_ || Send(kLastChunk);
 }
 
@@ -191,11 +191,11 @@
   ++state_->active_requests_;
   WatchCaller();
   request_ = &request;
-  answer_ = Answer::kNone;
+  response_state_ = ResponseState::kNone;
   state_->hooks_.serve_(shard_, request, this);
   StopWatching();
-  // Without the whole answer the next one would be taken for it.
-  keep_alive_ = keep_alive_ && answer_ == Answer::kWhole;
+  // After an incomplete response, the next one would be taken for its rest.
+  keep_alive_ = keep_alive_ && response_state_ == ResponseState::kComplete;
   request_ = nullptr;
   ReleaseBody();
   --state_->active_requests_;
@@ -254,7 +254,8 @@
       length ? std::min<uint64_t>(*length, state_->limits_.body_bytes_)
              : state_->limits_.body_bytes_;
   const uint64_t total = state_->body_bytes_ += reserved_bytes_;
-  // One body is always taken, however small the room is set.
+  // One body of maximum size is always accepted, even if total_body_bytes_ is
+  // lower.
   if (total <= std::max(state_->limits_.total_body_bytes_,
                         state_->limits_.body_bytes_)) {
     return true;
@@ -273,7 +274,8 @@
     return;
   }
   if (error == beast::error::timeout) {
-    // The stream's timeout closed the socket: nothing can be answered.
+    // The stream's timeout has closed the socket, so that no response can be
+    // sent. The refusal is only recorded.
     state_->hooks_.refuse_(RefusalReason::kReadTimeout);
   } else if (error == http::error::header_limit) {
     Refuse(RefusalReason::kHeaderTooLarge);
@@ -286,13 +288,14 @@
 
 void HttpConnection::Refuse(RefusalReason reason) {
   const HttpReply reply = state_->hooks_.refuse_(reason);
-  if (Send(WholeReplyText(reply, false, false))) {
+  if (Send(CompleteReplyText(reply, false, false))) {
     Linger();
   }
 }
 
 void HttpConnection::Linger() {
-  // Closing at once would discard the refusal while the caller still sends.
+  // Closing the socket while the caller still sends would reset the connection
+  // before the caller has read the refusal.
   error_code error;
   stream_.socket().shutdown(tcp::socket::shutdown_send, error);
   stream_.expires_after(kLingerTime);
@@ -324,7 +327,8 @@
 }
 
 void HttpConnection::WatchCaller() {
-  // Bytes of a next request end the watch: they hide the end of the stream.
+  // Bytes of a pipelined request end the watch, because a close behind them
+  // can't be detected.
   watching_ = true;
   auto self = shared_from_this();
   stream_.socket().async_wait(
--- a/src/transport/http_listener.cc
+++ b/src/transport/http_listener.cc
@@ -21,8 +21,9 @@
 using detail::HttpConnectionSet;
 using detail::HttpListenerState;
 
-/// Pause after an accept failed, e.g. for want of descriptors.
-constexpr auto kAcceptPause = std::chrono::milliseconds(50);
+/// Delay after accept has failed, for example because no file descriptor is
+/// free.
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -100,14 +101,15 @@
         });
   }
 
-  /// Out of descriptors: waits a moment instead of spinning.
+  /// Accepts the next connection; after an error with a delay, so that it
+  /// doesn't spin while file descriptors are exhausted.
   void AcceptAgain(const error_code& error) {
     if (!error) {
       Accept();
       return;
     }
-    auto timer =
-        std::make_shared<asio::steady_timer>(*shards_.front(), kAcceptPause);
+    auto timer = std::make_shared<asio::steady_timer>(*shards_.front(),
+                                                      kAcceptRetryDelay);
     auto self = shared_from_this();
     timer->async_wait([self, timer](const error_code&) {
       if (self->acceptor_.is_open()) {
--- a/src/transport/http_text.cc
+++ b/src/transport/http_text.cc
@@ -11,7 +11,7 @@
 namespace citronlane::detail {
 namespace {
 
-/// Status of a caller that closed its connection; not in the registry.
+/// Status for a caller that disconnected. Not registered, but in common use.
 constexpr int kClientClosedRequest = 499;
 constexpr int kHexBase = 16;
 constexpr size_t kSizeDigits = 16;
@@ -48,9 +48,9 @@
 
 }  // namespace
 
-std::string WholeReplyText(const HttpReply& reply,
-                           bool keep_alive,
-                           bool head_request) {
+std::string CompleteReplyText(const HttpReply& reply,
+                              bool keep_alive,
+                              bool head_request) {
   std::string text = HeadText(reply, keep_alive);
   AppendHeader("Content-Length", std::to_string(reply.body_.size()), &text);
   text += "\r\n";
--- a/src/transport/lease_renewer.cc
+++ b/src/transport/lease_renewer.cc
@@ -12,7 +12,7 @@
 
 namespace citronlane {
 
-struct LeaseRenewer::Question {
+struct LeaseRenewer::Renewal {
   grpc::ClientContext context_;
   std::shared_ptr<ControlChannels::Stub> stub_;
   wire::LeaseRequest request_;
@@ -23,77 +23,79 @@
 LeaseRenewer::LeaseRenewer(ControlLink* link, Hooks hooks)
     : link_(link), hooks_(std::move(hooks)) {}
 
-void LeaseRenewer::Ask(const std::string& address, uint64_t version) {
-  const auto [open, is_new] = open_.emplace(address, version);
+void LeaseRenewer::Renew(const std::string& address, uint64_t version) {
+  const auto [entry, is_new] = in_flight_.emplace(address, version);
   if (!is_new) {
-    if (open->second != version) {
-      again_[address] = version;
+    if (entry->second != version) {
+      next_versions_[address] = version;
     }
     return;
   }
-  const auto question = std::make_shared<Question>();
-  if (!link_->calls_.Begin(&question->context_)) {
+  const auto renewal = std::make_shared<Renewal>();
+  if (!link_->calls_.Begin(&renewal->context_)) {
     return;
   }
-  *question->request_.mutable_gateway() = link_->gateway_;
-  question->request_.set_version(version);
-  question->request_.set_peers_hash(peers_hash_);
-  question->stub_ = link_->channels_.Get(address);
-  // The node we watch is left when it is silent for watch_timeout_ in all.
-  question->context_.set_deadline(std::chrono::system_clock::now() +
-                                  link_->options_.watch_timeout_ -
-                                  link_->options_.renew_interval_);
-  question->sent_ = SteadyNow();
-  question->stub_->async()->RenewLease(
-      &question->context_, &question->request_, &question->reply_,
-      [this, address, question](const grpc::Status& status) {
-        link_->timers_.Post([this, address, question, ok = status.ok()] {
-          OnAnswer(address, *question, ok);
+  *renewal->request_.mutable_gateway() = link_->gateway_;
+  renewal->request_.set_version(version);
+  renewal->request_.set_peers_hash(peers_hash_);
+  renewal->stub_ = link_->channels_.Get(address);
+  // Renewals start every renew_interval_, so that the watched node is dropped
+  // when it has been silent for watch_timeout_ in total.
+  renewal->context_.set_deadline(std::chrono::system_clock::now() +
+                                 link_->options_.watch_timeout_ -
+                                 link_->options_.renew_interval_);
+  renewal->sent_ = SteadyNow();
+  renewal->stub_->async()->RenewLease(
+      &renewal->context_, &renewal->request_, &renewal->reply_,
+      [this, address, renewal](const grpc::Status& status) {
+        link_->timers_.Post([this, address, renewal, ok = status.ok()] {
+          OnDone(address, *renewal, ok);
         });
-        link_->calls_.End(&question->context_);
+        link_->calls_.End(&renewal->context_);
       });
 }
 
-void LeaseRenewer::OnAnswer(const std::string& address,
-                            const Question& question,
-                            bool ok) {
-  open_.erase(address);
+void LeaseRenewer::OnDone(const std::string& address,
+                          const Renewal& renewal,
+                          bool ok) {
+  in_flight_.erase(address);
   hooks_.on_probe_(address, ok);
   if (ok) {
-    told_[address] = question.request_.version();
-    hooks_.on_reply_(question.reply_, question.sent_);
+    confirmed_versions_[address] = renewal.request_.version();
+    hooks_.on_reply_(renewal.reply_, renewal.sent_);
   }
-  const auto again = again_.find(address);
-  if (again != again_.end()) {
-    const uint64_t version = again->second;
-    again_.erase(again);
-    Ask(address, version);
+  const auto next = next_versions_.find(address);
+  if (next != next_versions_.end()) {
+    const uint64_t version = next->second;
+    next_versions_.erase(next);
+    Renew(address, version);
   }
 }
 
-void LeaseRenewer::AskUntold(uint64_t version) {
+void LeaseRenewer::RenewAtOutdated(uint64_t version) {
   for (const std::string& address : link_->channels_.addresses()) {
-    const auto told = told_.find(address);
-    if (told == told_.end() || told->second != version) {
-      Ask(address, version);
+    const auto confirmed = confirmed_versions_.find(address);
+    if (confirmed == confirmed_versions_.end() ||
+        confirmed->second != version) {
+      Renew(address, version);
     }
   }
 }
 
-void LeaseRenewer::AskOthers(const std::string& address,
-                             size_t count,
-                             uint64_t version) {
+void LeaseRenewer::RenewAtOthers(const std::string& address,
+                                 size_t count,
+                                 uint64_t version) {
   std::vector<std::string> others = link_->channels_.addresses();
   others.erase(std::remove(others.begin(), others.end(), address),
                others.end());
   for (size_t i = 0; i < std::min(count, others.size()); ++i) {
-    Ask(others[next_other_++ % others.size()], version);
+    Renew(others[next_other_++ % others.size()], version);
   }
 }
 
-void LeaseRenewer::AskAll(uint64_t version) {
+void LeaseRenewer::RenewAtAll(uint64_t version) {
   for (const std::string& address : link_->channels_.addresses()) {
-    Ask(address, version);
+    Renew(address, version);
   }
 }
 
--- a/src/transport/order_sender.cc
+++ b/src/transport/order_sender.cc
@@ -25,7 +25,7 @@
   if (status == http::status::ok) {
     return OrderSender::Outcome::kDone;
   }
-  // 409 is the fencing number; the other 4xx say that the order is wrong.
+  // 409: the fencing number is outdated. Other 4xx: the order is invalid.
   return http::to_status_class(status) == http::status_class::client_error
              ? OrderSender::Outcome::kRefused
              : OrderSender::Outcome::kFailed;
@@ -79,8 +79,8 @@
     }
     beast::tcp_stream stream(context_);
     streams_.insert(&stream);
-    // One bound for all of it, and a reset at the end, so that no byte of the
-    // order is on its way afterwards.
+    // One deadline for the whole exchange, and a reset at its end, so that no
+    // byte of the order can arrive later.
     stream.expires_at(until);
     const Outcome outcome =
         Exchange(&stream, asio::ip::tcp::endpoint(ip, port), body, yield);
--- a/src/transport/replication_peer.cc
+++ b/src/transport/replication_peer.cc
@@ -69,14 +69,14 @@
   std::deque<Message> queue_;
   Stream* stream_ = nullptr;
   bool writing_ = false;
-  /// The stream broke; it ends as soon as gRPC says so.
+  /// The stream is broken; it ends when gRPC calls OnDone.
   bool broken_ = false;
   bool closed_ = false;
   TimePoint reopen_at_;
   GreetCall* greeting_ = nullptr;
 };
 
-/// One open stream; deletes itself when gRPC is done with it.
+/// One open stream; deletes itself when gRPC has finished with it.
 class ReplicationPeer::Impl::Stream final
     : public grpc::ClientWriteReactor<wire::RaftMessage> {
  public:
@@ -96,7 +96,7 @@
   const std::shared_ptr<Impl> owner_;
 };
 
-/// One greeting that is out.
+/// One greeting in flight.
 class ReplicationPeer::Impl::GreetCall {
  public:
   grpc::ClientContext context_;
@@ -124,7 +124,8 @@
   }
 }
 
-// The hold keeps the stream alive between writes; see HandleWritten.
+// The hold keeps the stream alive between writes; HandleWritten and Close
+// remove it.
 void ReplicationPeer::Impl::Open() {
   stream_ = new Stream(shared_from_this());
   stream_->context_.AddMetadata("node-id", std::to_string(own_id_));
--- a/src/transport/replication_server.cc
+++ b/src/transport/replication_server.cc
@@ -24,7 +24,7 @@
   return {it->second.data(), it->second.size()};
 }
 
-/// One stream from another node; deletes itself at its end.
+/// One stream from another node; deletes itself when it has ended.
 class Receiver final : public grpc::ServerReadReactor<wire::RaftMessage> {
  public:
   explicit Receiver(const ReplicationServer::Hooks& hooks) : hooks_(hooks) {
--- a/src/transport/reporter.cc
+++ b/src/transport/reporter.cc
@@ -31,7 +31,7 @@
     return;
   }
   waiting_.push_back({std::move(refusals), dropped, deadline, std::move(done)});
-  link_->timers_.At(deadline, [this] { DropLate(); });
+  link_->timers_.At(deadline, [this] { ExpireBatches(); });
   SendIfIdle();
 }
 
@@ -43,7 +43,7 @@
 
 void Reporter::Tick() {
   if (link_->calls_.is_stopping()) {
-    DropLate();
+    ExpireBatches();
     return;
   }
   SendIfIdle();
@@ -51,17 +51,17 @@
 }
 
 void Reporter::SendIfIdle() {
-  if (open_ || link_->calls_.is_stopping()) {
+  if (in_flight_ || link_->calls_.is_stopping()) {
     return;
   }
   wire::ReportRequest request;
   if (Fill(&request)) {
-    open_ = request;
-    Send(*open_);
+    in_flight_ = request;
+    Send(*in_flight_);
   }
 }
 
-// Returns whether there is anything to say.
+// Returns whether there is anything to report.
 bool Reporter::Fill(wire::ReportRequest* request) {
   *request->mutable_gateway() = link_->gateway_;
   request->set_sequence(sequence_ + 1);
@@ -88,14 +88,14 @@
     added->set_server(server);
     added->set_incarnation(incarnation);
   }
-  const bool has_news = request->usage_size() > 0 || !waiting_.empty() ||
-                        request->leaving_size() > 0;
-  if (has_news) {
+  const bool has_content = request->usage_size() > 0 || !waiting_.empty() ||
+                           request->leaving_size() > 0;
+  if (has_content) {
     ++sequence_;
     sent_ = std::exchange(waiting_, {});
     leaving_.clear();
   }
-  return has_news;
+  return has_content;
 }
 
 void Reporter::Send(const wire::ReportRequest& request) {
@@ -116,15 +116,16 @@
 
 void Reporter::OnReply(const std::optional<wire::ReportReply>& reply,
                        TimePoint sent) {
-  DropLate();
+  ExpireBatches();
   if (!reply) {
-    // It may be booked or not; the same report again tells.
+    // Whether the report was recorded is unknown. Resending it is safe because
+    // of its sequence number.
     if (!link_->calls_.is_stopping()) {
-      Send(*open_);
+      Send(*in_flight_);
     }
     return;
   }
-  open_.reset();
+  in_flight_.reset();
   for (const wire::SpendShare& share : reply->shares()) {
     if (hooks_.on_share_) {
       hooks_.on_share_(share.class_name(), share.amount(),
@@ -139,8 +140,9 @@
   }
 }
 
-// Those who waited long enough are told no; what is under way may still arrive.
-void Reporter::DropLate() {
+// Completes batches whose deadline has passed, or all when stopping, with
+// false. A report in flight that contains them may still be accepted.
+void Reporter::ExpireBatches() {
   const bool all = link_->calls_.is_stopping();
   for (std::vector<Batch>* batches : {&sent_, &waiting_}) {
     std::vector<Batch> kept;
--- a/src/transport/stage_adapter.cc
+++ b/src/transport/stage_adapter.cc
@@ -14,11 +14,11 @@
 namespace citronlane {
 namespace {
 
-/// Priorities of an engine: a lower one is served first.
-/// Engines take smaller numbers first; steps leave room between classes.
+/// Distance between the priorities of adjacent classes at an engine, which
+/// serves lower numbers first.
 constexpr double kPriorityStep = 5;
 
-/// Returns the member when it is an array, else null.
+/// Returns the member if it is an array, else null.
 const JsonValue* FindArray(const JsonValue& object, std::string_view name) {
   const JsonValue* found = object.Find(name);
   return found != nullptr && found->IsArray() ? found : nullptr;
@@ -29,7 +29,8 @@
   return output.documents_ ? *output.documents_ : none;
 }
 
-/// Writes `{"a":1}` from a value and appends a member that is JSON already.
+/// Serializes a non-empty object with one more member, whose value is given as
+/// JSON text.
 std::string WithRawMember(const JsonValue& object,
                           std::string_view name,
                           std::string_view raw) {
@@ -121,13 +122,13 @@
                                    ? nullptr
                                    : FindArray(data->items()[0], "embedding");
   if (embedding == nullptr || embedding->items().empty()) {
-    return Fail("the encoder's reply holds no embedding", error);
+    return Fail("the encoder's reply contains no embedding", error);
   }
   const bool numbers =
       std::all_of(embedding->items().begin(), embedding->items().end(),
                   [](const JsonValue& item) { return item.IsNumber(); });
   if (!numbers) {
-    return Fail("the encoder's embedding is not made of numbers", error);
+    return Fail("the encoder's embedding must contain only numbers", error);
   }
   StageOutput output;
   output.embedding_ = WriteJson(*embedding);
@@ -151,7 +152,7 @@
                                           Error* error) {
   const JsonValue* items = FindArray(reply, "documents");
   if (items == nullptr) {
-    return Fail("the retriever's reply holds no documents", error);
+    return Fail("the retriever's reply contains no documents", error);
   }
   std::vector<Document> documents;
   for (const JsonValue& item : items->items()) {
@@ -171,7 +172,7 @@
                                          Error* error) {
   const JsonValue* results = FindArray(reply, "results");
   if (results == nullptr) {
-    return Fail("the reranker's reply holds no results", error);
+    return Fail("the reranker's reply contains no results", error);
   }
   const std::vector<Document>& known = DocumentsOf(before);
   std::vector<bool> used(known.size());
@@ -183,11 +184,12 @@
         index->AsNumber() >= static_cast<double>(known.size()) ||
         index->AsNumber() != std::floor(index->AsNumber()) ||
         score == nullptr || !score->IsNumber()) {
-      return Fail("a result of the reranker names no document", error);
+      return Fail("a result of the reranker has no valid index and score",
+                  error);
     }
     const auto position = static_cast<size_t>(index->AsNumber());
     if (used[position]) {
-      return Fail("the reranker names a document twice", error);
+      return Fail("the reranker's reply contains a document twice", error);
     }
     used[position] = true;
     documents.push_back(known[position]);
@@ -253,7 +255,7 @@
     case StageKind::kService:
       break;
   }
-  return Fail("this kind of stage has no whole reply", error);
+  return Fail("this kind of stage has no complete reply", error);
 }
 
 }  // namespace citronlane
--- a/src/transport/stage_client.cc
+++ b/src/transport/stage_client.cc
@@ -33,15 +33,17 @@
 using ConnectionPtr = std::unique_ptr<Connection>;
 using Stream = detail::StageConnection::Stream;
 
-constexpr size_t kStreamPieceBytes = size_t{16} * 1024;
-/// A server that acknowledges nothing this long is cut off: several times the
-/// kernel's first retransmissions on links of a few milliseconds.
-constexpr int kUnackedMs = 2000;
-/// Interim replies, and replies to other calls, that are read past for one.
-constexpr int kMostPassedReplies = 8;
+constexpr size_t kReadBufferBytes = size_t{16} * 1024;
+/// TCP user timeout: a connection fails if the server acknowledges nothing for
+/// this long. Several times the kernel's first retransmissions on links with a
+/// latency of a few milliseconds.
+constexpr int kUnacknowledgedTimeoutMs = 2000;
+/// Maximum number of interim replies and replies to other calls that one call
+/// skips.
+constexpr int kMaxSkippedReplies = 8;
 constexpr int kFirstFinalStatus = 200;
 
-/// How an error after the call was sent counts.
+/// Returns the outcome for an error that occurred after the call was sent.
 CallOutcome OutcomeOf(const error_code& error) {
   if (error == beast::error::timeout) {
     return CallOutcome::kTimeout;
@@ -53,7 +55,7 @@
   return closed ? CallOutcome::kClosedAfterSend : CallOutcome::kServerError;
 }
 
-/// One call: a coroutine that connects, sends once, and reads the reply.
+/// One call, run by a coroutine: connects, sends once and reads the reply.
 class Call : public StageCall, public std::enable_shared_from_this<Call> {
  public:
   Call(std::shared_ptr<ConnectionPool> pool,
@@ -72,7 +74,7 @@
     }
   }
 
-  /// Hooks may hold their owner, which holds this call.
+  /// Destroys the hooks, which may own the owner of this call.
   void DropHooks() { hooks_ = StageCallHooks(); }
 
   void Run(const asio::yield_context& yield) {
@@ -80,7 +82,7 @@
       if (spec_.streams_) {
         ReadStream(yield);
       } else {
-        ReadWhole(yield);
+        ReadCompleteReply(yield);
       }
     }
   }
@@ -97,7 +99,7 @@
   bool Connect(const asio::yield_context& yield) {
     if (!spec_.fresh_connection_) {
       connection_ = pool_->TakeIdle(
-          key_, spec_.longest_idle_.value_or(pool_->limits().idle_timeout_));
+          key_, spec_.max_idle_time_.value_or(pool_->limits().idle_timeout_));
       if (connection_) {
         kept_connection_ = true;
         return true;
@@ -116,7 +118,8 @@
       Done(CallOutcome::kConnectFailed);
       return false;
     }
-    SetSocketOptions(connection_->stream_.socket().native_handle(), kUnackedMs);
+    SetSocketOptions(connection_->stream_.socket().native_handle(),
+                     kUnacknowledgedTimeoutMs);
     return !over_;
   }
 
@@ -131,7 +134,7 @@
     }
     const std::string text = detail::RequestText(spec_);
     error_code error;
-    if (spec_.answers_at_once_) {
+    if (spec_.replies_immediately_) {
       ExtendForRead();
     } else {
       connection_->stream_.expires_at(spec_.deadline_);
@@ -143,12 +146,13 @@
     return !over_;
   }
 
-  /// Reads past interim replies and whole replies to other calls, which a
-  /// server that answers twice sends late, where this call's reply is expected.
+  /// Reads the head of this call's reply. Skips interim replies and complete
+  /// replies to other calls: a server that replies twice sends the second reply
+  /// when the reply to the next call is expected.
   template <typename Body>
   bool ReadReplyHead(std::optional<http::response_parser<Body>>* parser,
                      const asio::yield_context& yield) {
-    for (int passed = 0; passed < kMostPassedReplies && !over_; ++passed) {
+    for (int skipped = 0; skipped < kMaxSkippedReplies && !over_; ++skipped) {
       parser->emplace();
       (*parser)->header_limit(pool_->limits().reply_header_bytes_);
       (*parser)->body_limit(pool_->limits().reply_body_bytes_);
@@ -171,13 +175,13 @@
         return false;
       }
       if (owner == ReplyOwner::kOtherCall) {
-        if (!PassReply(&**parser, yield)) {
+        if (!SkipReply(&**parser, yield)) {
           return false;
         }
         continue;
       }
       may_keep_ =
-          may_keep_ && owner == ReplyOwner::kThisCall && NamesThisCall(head_);
+          may_keep_ && owner == ReplyOwner::kThisCall && EchoesThisCall(head_);
       connection_->idle_limit_ = detail::IdleLimit((*parser)->get());
       if (!over_ && !hooks_.head_(head_)) {
         over_ = true;
@@ -188,35 +192,37 @@
     return false;
   }
 
-  /// Another call's reply came first: this one's may follow until the deadline,
-  /// and more of the other's behind it.
+  /// Prepares for reading on after another call's reply: this call's may follow
+  /// until the deadline. The connection isn't kept, since more replies to the
+  /// other call may follow.
   void AwaitNextReply() {
     may_keep_ = false;
     connection_->stream_.expires_at(spec_.deadline_);
   }
 
   ReplyOwner OwnerOf(const StageReplyHead& head) const {
-    if (head.is_two_in_one_) {
+    if (head.is_merged_) {
       return ReplyOwner::kUnclear;
     }
     return hooks_.owner_ && !over_ ? hooks_.owner_(head)
                                    : ReplyOwner::kThisCall;
   }
 
-  /// A reply that names no call may have a second one behind it, which the next
-  /// call on the connection could not tell from its own.
-  bool NamesThisCall(const StageReplyHead& head) const {
+  /// Whether the reply echoes this call's id, if the server does so at all.
+  /// After one that doesn't, a second reply to this call could not be told from
+  /// the reply to the next call on the connection.
+  bool EchoesThisCall(const StageReplyHead& head) const {
     return spec_.attempt_id_.empty() || head.echoed_id_ == spec_.attempt_id_;
   }
 
-  /// Drops the body of a reply that is not this call's.
+  /// Reads and discards the body of a reply to another call.
   template <typename Parser>
-  bool PassReply(Parser* parser, const asio::yield_context& yield) {
+  bool SkipReply(Parser* parser, const asio::yield_context& yield) {
     AwaitNextReply();
-    std::vector<char> sink(kStreamPieceBytes);
+    std::vector<char> sink(kReadBufferBytes);
     error_code error;
     while (!parser->is_done() && !error && !over_) {
-      ReadPiece(parser, &sink, yield, &error);
+      ReadSome(parser, &sink, yield, &error);
     }
     if (error) {
       Done(CallOutcome::kWrongId);
@@ -224,39 +230,40 @@
     return !error && !over_;
   }
 
-  /// Returns how many bytes of `piece` were filled.
+  /// Makes `buffer` the target of the next read and returns its size.
   static size_t Prepare(http::response_parser<http::buffer_body>* parser,
-                        std::vector<char>* piece) {
+                        std::vector<char>* buffer) {
     auto& body = parser->get().body();
-    body.data = piece->data();
-    body.size = piece->size();
+    body.data = buffer->data();
+    body.size = buffer->size();
     body.more = true;
-    return piece->size();
+    return buffer->size();
   }
 
-  size_t ReadPiece(http::response_parser<http::buffer_body>* parser,
-                   std::vector<char>* piece,
-                   const asio::yield_context& yield,
-                   error_code* error) {
-    const size_t room = Prepare(parser, piece);
+  /// Returns how many bytes of `buffer` were filled.
+  size_t ReadSome(http::response_parser<http::buffer_body>* parser,
+                  std::vector<char>* buffer,
+                  const asio::yield_context& yield,
+                  error_code* error) {
+    const size_t capacity = Prepare(parser, buffer);
     http::async_read_some(connection_->stream_, connection_->buffer_, *parser,
                           yield[*error]);
     if (*error == http::error::need_buffer) {
       *error = {};
     }
-    return room - parser->get().body().size;
+    return capacity - parser->get().body().size;
   }
 
-  void ReadPiece(http::response_parser<http::string_body>* parser,
-                 std::vector<char>* /*piece*/,
-                 const asio::yield_context& yield,
-                 error_code* error) {
+  void ReadSome(http::response_parser<http::string_body>* parser,
+                std::vector<char>* /*buffer*/,
+                const asio::yield_context& yield,
+                error_code* error) {
     http::async_read_some(connection_->stream_, connection_->buffer_, *parser,
                           yield[*error]);
   }
 
-  void ReadWhole(const asio::yield_context& yield) {
-    for (int passed = 0; passed < kMostPassedReplies && !over_; ++passed) {
+  void ReadCompleteReply(const asio::yield_context& yield) {
+    for (int skipped = 0; skipped < kMaxSkippedReplies && !over_; ++skipped) {
       std::optional<http::response_parser<http::string_body>> parser;
       if (!ReadReplyHead(&parser, yield)) {
         return;
@@ -264,14 +271,14 @@
       error_code error;
       while (!parser->is_done() && !error && !over_) {
         ExtendForRead();
-        ReadPiece(&*parser, nullptr, yield, &error);
+        ReadSome(&*parser, nullptr, yield, &error);
       }
       if (error) {
         Done(OutcomeOf(error));
         return;
       }
       auto& reply = parser->get();
-      if (IsThisCalls(reply.body())) {
+      if (BelongsToThisCall(reply.body())) {
         Keep(reply.keep_alive());
         Done(CallOutcome::kSuccess, std::move(reply.body()));
         return;
@@ -280,8 +287,8 @@
     Done(CallOutcome::kWrongId);
   }
 
-  /// By its body, where heads name no call.
-  bool IsThisCalls(std::string_view body) {
+  /// Decides by the body whether the reply belongs to this call.
+  bool BelongsToThisCall(std::string_view body) {
     if (over_ || !hooks_.owner_by_body_) {
       return true;
     }
@@ -299,21 +306,21 @@
     if (!ReadReplyHead(&parser, yield)) {
       return;
     }
-    std::vector<char> piece(kStreamPieceBytes);
-    bool begun = spec_.answers_at_once_;
+    std::vector<char> buffer(kReadBufferBytes);
+    bool begun = spec_.replies_immediately_;
     while (!parser->is_done() && !over_) {
       if (begun) {
         ExtendForRead();
       }
       error_code error;
-      const size_t got = ReadPiece(&*parser, &piece, yield, &error);
+      const size_t got = ReadSome(&*parser, &buffer, yield, &error);
       if (error) {
         Done(OutcomeOf(error));
         return;
       }
       if (got > 0 && !over_) {
         begun = true;
-        hooks_.data_(std::string_view(piece.data(), got));
+        hooks_.data_(std::string_view(buffer.data(), got));
       }
     }
     if (!over_) {
@@ -322,7 +329,7 @@
     }
   }
 
-  /// Within a reply, silence is bounded besides the deadline.
+  /// Limits the next read by the silence limit as well as by the deadline.
   void ExtendForRead() {
     const Duration limit = pool_->limits().read_timeout_;
     const Duration silence =
@@ -335,7 +342,7 @@
     const bool drained = connection_->buffer_.size() == 0;
     if (keep_alive && drained && may_keep_ && !spec_.fresh_connection_ &&
         !over_) {
-      pool_->GiveBack(key_, std::move(connection_));
+      pool_->PutIdle(key_, std::move(connection_));
     }
   }
 
@@ -344,7 +351,7 @@
   StageCallHooks hooks_;
   const std::string key_;
   ConnectionPtr connection_;
-  /// Of the reply that is read.
+  /// Head of the current reply.
   StageReplyHead head_;
   bool kept_connection_ = false;
   bool may_keep_ = true;
@@ -370,7 +377,8 @@
                                               StageCallHooks hooks) {
   auto call =
       std::make_shared<Call>(impl_->pool_, std::move(spec), std::move(hooks));
-  // Dropped when the coroutine ends, also with its io_context.
+  // Destroys the hooks when the coroutine ends, also if it ends because its
+  // io_context is destroyed.
   const std::shared_ptr<Call> running(
       call.get(), [call](Call* ended) { ended->DropHooks(); });
   asio::spawn(
--- a/src/transport/stage_messages.cc
+++ b/src/transport/stage_messages.cc
@@ -14,11 +14,12 @@
 namespace citronlane::detail {
 namespace {
 
-/// Whether the text holds what only a status line does: "HTTP/1.1 200".
-bool HoldsStatusLine(std::string_view text) {
+/// Whether the text contains the beginning of a status line, such as
+/// "HTTP/1.1 200".
+bool ContainsStatusLine(std::string_view text) {
   constexpr std::string_view kVersion = "HTTP/1.";
-  // As in "1 200": the minor version and the status.
-  const auto goes_on = [text](size_t at) {
+  // Matches the minor version and the status, as in "1 200".
+  const auto is_status_line = [text](size_t at) {
     const auto is_digit = [text, at](size_t i) {
       return at + i < text.size() && text[at + i] >= '0' && text[at + i] <= '9';
     };
@@ -26,7 +27,8 @@
            is_digit(3) && is_digit(4);
   };
   size_t at = text.find(kVersion);
-  while (at != std::string_view::npos && !goes_on(at + kVersion.size())) {
+  while (at != std::string_view::npos &&
+         !is_status_line(at + kVersion.size())) {
     at = text.find(kVersion, at + 1);
   }
   return at != std::string_view::npos;
@@ -80,12 +82,12 @@
     head.load_age_ = std::chrono::milliseconds(age_ms);
   }
   const auto reason = reply.reason();
-  head.is_two_in_one_ = HoldsStatusLine({reason.data(), reason.size()}) ||
-                        reply.count("X-Attempt-Id") > 1;
+  head.is_merged_ = ContainsStatusLine({reason.data(), reason.size()}) ||
+                    reply.count("X-Attempt-Id") > 1;
   for (const auto& field : reply) {
     const auto name = field.name_string();
     const auto value = field.value();
-    head.is_two_in_one_ |= HoldsStatusLine({value.data(), value.size()});
+    head.is_merged_ |= ContainsStatusLine({value.data(), value.size()});
     head.headers_.push_back(
         {{name.data(), name.size()}, {value.data(), value.size()}});
   }
@@ -107,8 +109,8 @@
   if (!absl::SimpleAtoi(digits, &seconds)) {
     return std::nullopt;
   }
-  constexpr auto kReserve = std::chrono::milliseconds(700);
-  return std::chrono::seconds(seconds) - kReserve;
+  constexpr auto kNetworkMargin = std::chrono::milliseconds(700);
+  return std::chrono::seconds(seconds) - kNetworkMargin;
 }
 
 }  // namespace citronlane::detail
--- a/src/transport/stage_token_reader.cc
+++ b/src/transport/stage_token_reader.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kDoneText = "[DONE]";
 constexpr double kMaxOffset = 1e9;
 
-/// Returns the token of one event, or nothing when it has another shape.
+/// Returns the token of one event, or nothing if the event is malformed.
 std::optional<Token> ReadToken(std::string_view data) {
   Fault fault;
   const auto event = ParseJson(data, &fault);
@@ -48,8 +48,8 @@
 StageTokenReader::StageTokenReader(size_t max_event_bytes, TokenHook on_token)
     : max_event_bytes_(max_event_bytes), on_token_(std::move(on_token)) {}
 
-bool StageTokenReader::Feed(std::string_view piece) {
-  pending_.append(piece);
+bool StageTokenReader::Feed(std::string_view fragment) {
+  pending_.append(fragment);
   size_t begin = 0;
   for (size_t end = pending_.find('\n'); end != std::string::npos;
        end = pending_.find('\n', begin)) {
@@ -68,7 +68,7 @@
 
 bool StageTokenReader::ReadLine(std::string_view line) {
   if (line.substr(0, kDataField.size()) != kDataField) {
-    // Blank lines, comments and other fields say nothing of tokens.
+    // Blank lines, comments and other fields carry no tokens.
     return true;
   }
   line.remove_prefix(kDataField.size());
--- a/src/transport/vm_list_client.cc
+++ b/src/transport/vm_list_client.cc
@@ -16,6 +16,7 @@
 namespace {
 
 constexpr unsigned kOk = 200;
+/// 2^53, up to which a double represents every integer.
 constexpr double kMaxIncarnation = 9007199254740992.0;
 
 std::optional<ServerState> ParseState(const JsonValue& vm) {
@@ -47,7 +48,7 @@
   const cxxtools::Milliseconds timeout(
       std::chrono::duration<double, std::milli>(limit).count());
   try {
-    // A read that the library may send twice.
+    // The library may send the request twice, which is harmless for a GET.
     cxxtools::http::Client client(
         address_.substr(0, colon),
         static_cast<uint16_t>(std::stoul(address_.substr(colon + 1))));
@@ -55,7 +56,7 @@
     client.execute(request, timeout, timeout);
     client.readBody();
     if (client.header().httpReturnCode() != kOk) {
-      error->message_ = "The platform answered " +
+      error->message_ = "The platform replied with status " +
                         std::to_string(client.header().httpReturnCode()) + ".";
       return std::nullopt;
     }
@@ -72,7 +73,7 @@
   const std::optional<JsonValue> root = ParseJson(body, &fault);
   const JsonValue* vms = root ? root->Find("vms") : nullptr;
   if (vms == nullptr || !vms->IsArray()) {
-    error->message_ = "The answer has no array \"vms\".";
+    error->message_ = "The reply has no array \"vms\".";
     return std::nullopt;
   }
   States states;
@@ -80,7 +81,7 @@
     const JsonValue* id = vm.Find("id");
     const std::optional<ServerState> state = ParseState(vm);
     if (id == nullptr || !id->IsString() || !state) {
-      error->message_ = "An entry of the list can not be read.";
+      error->message_ = "An entry of the VM list is invalid.";
       return std::nullopt;
     }
     states[id->AsString()] = *state;
--- a/tests/unit-admin-server.cc
+++ b/tests/unit-admin-server.cc
@@ -24,7 +24,7 @@
 constexpr std::chrono::seconds kDeadline(20);
 constexpr int kValidSeconds = 3600;
 
-// A key and a certificate signed by itself, in files removed at the end.
+/// A key and a self-signed certificate, in files that the destructor removes.
 class TemporaryCertificate {
  public:
   TemporaryCertificate() : files_{Path("cert.pem"), Path("key.pem"), ""} {
@@ -64,7 +64,8 @@
   return acceptor.local_endpoint().port();
 }
 
-// Sends plain HTTP and reads until the server closes or answers.
+/// Sends a request without TLS and reads until the server replies or closes the
+/// connection.
 void SendPlain(uint16_t port) {
   boost::asio::io_context context;
   Tcp::socket socket(context);
@@ -76,7 +77,7 @@
   boost::asio::read(socket, boost::asio::buffer(reply), ignored);
 }
 
-// Whether Stop returns; when it does not, the server is left to itself.
+/// Whether Stop returns in time; if it doesn't, the server is leaked.
 bool Stops(std::unique_ptr<AdminServer> server) {
   std::promise<void> stopped;
   std::future<void> future = stopped.get_future();
--- a/tests/unit-caller-framing.cc
+++ b/tests/unit-caller-framing.cc
@@ -1,6 +1,6 @@
-// A reply to HEAD has no body: what a gateway sends behind its head would be
-// read as the start of the next reply on the caller's connection. A route that
-// streams answers through StartStream, whatever the method.
+// A response to HEAD has no body: any byte after its head would be read as the
+// start of the next response on the caller's connection. Routes that stream use
+// StartStream for every method, so that it has to leave out the body.
 
 #include <catch2/catch.hpp>
 
@@ -19,7 +19,7 @@
 
 namespace asio = boost::asio;
 
-TEST_CASE("a streamed reply to HEAD ends with its head") {
+TEST_CASE("a streamed response to HEAD ends with its head") {
   asio::io_context io;
   HttpListenerHooks hooks;
   hooks.serve_ = [](size_t, const HttpRequest&, HttpExchange* exchange) {
--- a/tests/unit-fuzz-http.cc
+++ b/tests/unit-fuzz-http.cc
@@ -33,7 +33,8 @@
   return corpus;
 }
 
-/// A text of the corpus with some bytes changed, cut out or doubled.
+/// A random text of the corpus with some bytes changed, removed, duplicated or
+/// inserted.
 std::string Mutate(std::mt19937_64* random) {
   const auto draw = [random](size_t bound) { return (*random)() % bound; };
   std::string text = Corpus()[draw(Corpus().size())];
--- a/tests/unit-replication.cc
+++ b/tests/unit-replication.cc
@@ -25,7 +25,7 @@
 
 constexpr std::chrono::seconds kCallDeadline(5);
 
-/// Whether a node with these certificates gets an answer from `address`.
+/// Whether a node with these certificates gets a reply from `address`.
 bool CanGreet(const std::string& address, const TlsFiles& files) {
   Error error;
   const auto stub = wire::Replication::NewStub(
@@ -45,7 +45,7 @@
   const TlsFiles files = WriteTestCertificates(folder, "ours");
   Error error;
 
-  SECTION("answers only a node with a certificate of the same CA") {
+  SECTION("replies only to a node with a certificate of the same CA") {
     ReplicationServer::Hooks hooks;
     hooks.greet_ = [] { return ReplicationGreeting{7, 1, false, {}}; };
     ReplicationServer server("127.0.0.1:0",
@@ -58,7 +58,7 @@
     foreign.ca_ = files.ca_;
     CHECK_FALSE(CanGreet(address, foreign));
   }
-  SECTION("refuses a key that others may read, and files that are missing") {
+  SECTION("rejects a key that others may read, and missing files") {
     fs::permissions(files.private_key_, fs::perms::group_read,
                     fs::perm_options::add);
     CHECK(MakeServerCredentials(files, &error) == nullptr);
@@ -71,7 +71,7 @@
   fs::remove_all(folder);
 }
 
-TEST_CASE("decoders take any bytes") {
+TEST_CASE("decoders accept or reject any input") {
   SECTION("messages keep every field") {
     CHECK(rc::check([] {
       Message message;
@@ -100,7 +100,7 @@
                 message.entries_.front().payload_);
     }));
   }
-  SECTION("a message or entry of unknown kind is refused") {
+  SECTION("a message or entry of unknown kind is rejected") {
     wire::RaftMessage message;
     message.set_kind(11);
     CHECK_FALSE(DecodeMessage(&message));
--- a/tests/unit-reply-identity.cc
+++ b/tests/unit-reply-identity.cc
@@ -1,12 +1,11 @@
-// A server may answer twice, the second time late, where the next call's reply
-// is expected. This was a hypothesis when a caller got another request's
-// answer; it was ruled out for the plays, where such replies always named their
-// request, and the cause was another one (unit-answered-once). What was wrong
-// by itself: a gateway passed over a late reply only when it named another
-// request. One that named none, or that was cut so that the next one's head ran
-// into it, was handed to whoever called next; with a status of "not run" the
-// next caller got that, untrue. Replies to stage calls name nothing: the second
-// one's results went to the requests of the next call.
+// Guards against giving a request the reply to another call. It comes about
+// when a server replies to a call twice: the second reply is then read where
+// the reply to the next call on the connection is expected. A gateway that
+// skips such a reply only if it names another request returns one that names
+// none, or one that is incomplete so that the next head runs into it, to the
+// wrong caller; if its status means "not run", that caller is told an untruth.
+// Replies to stage calls name no request at all, so that the results of a
+// second reply would go to the requests of the next call.
 
 #include <catch2/catch.hpp>
 
@@ -60,7 +59,7 @@
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// An event, so that it does for streams as well.
+// A server-sent event, so that it can be used for streams, too.
 std::string Answer(const std::string& request) {
   return "data: answer to " + request + "\n\n";
 }
@@ -103,8 +102,8 @@
   return {server};
 }
 
-/// A gateway of one route to one scripted server, which two entries name: they
-/// share its connections.
+/// A gateway with one route to one scripted server. Two server entries with the
+/// same address share its connections.
 class Gateway {
  public:
   explicit Gateway(uint16_t port, RouteKind kind = RouteKind::kSafe)
@@ -126,9 +125,9 @@
 };
 
 /// A stage pool of one scripted server.
-class StagePress {
+class SingleServerPool {
  public:
-  explicit StagePress(uint16_t port) {
+  explicit SingleServerPool(uint16_t port) {
     view_.SetServers(OneServer("press", port), SteadyNow());
     pool_.Begin(SteadyNow());
   }
@@ -152,14 +151,14 @@
         [] {});
     while (!is_done) {
       if (io_.run_one() == 0) {
-        // A piece waits for its next try, which is due by then.
+        // A piece waits for its next attempt, which is due by then.
         io_.restart();
         pool_.Tick(SteadyNow() + seconds(1));
       }
     }
   }
 
-  /// Frees what was got, and waits until that call is over.
+  /// Frees the results and waits until that call has ended.
   void Free() {
     pool_.Free(got_);
     io_.restart();
@@ -184,13 +183,14 @@
       &log_};
 };
 
-/// Makes pieces, and answers calls that free them twice, the second time late.
-class FreesTwiceServer {
+/// A stage server that replies twice to calls that free results, the second
+/// time before the reply to the next call.
+class RepeatingFreeServer {
  public:
-  /// Makes pieces for the first `most` calls, and refuses the others.
-  explicit FreesTwiceServer(std::string free_reply,
-                            int most = 100,
-                            int pieces = 2)
+  /// Makes pieces for the first `most` calls and refuses the others.
+  explicit RepeatingFreeServer(std::string free_reply,
+                               int most = 100,
+                               int pieces = 2)
       : free_reply_(std::move(free_reply)),
         most_(most),
         pieces_(pieces),
@@ -224,11 +224,11 @@
     if (made_ >= most_) {
       return kRefusal;
     }
-    const std::string maker = "127.0.0.1:" + std::to_string(port()) + "/" +
-                              std::to_string(++made_) + "-";
+    const std::string producer = "127.0.0.1:" + std::to_string(port()) + "/" +
+                                 std::to_string(++made_) + "-";
     std::string items;
     for (int i = 0; i < pieces_; ++i) {
-      items += (i == 0 ? "" : ",") + (R"({"handle":")" + maker) +
+      items += (i == 0 ? "" : ",") + (R"({"handle":")" + producer) +
                std::to_string(i) + "\"}";
     }
     return Reply("", R"({"items":[)" + items + "]}");
@@ -238,17 +238,18 @@
   const int most_;
   const int pieces_;
   std::atomic<int> made_{0};
-  // Last, so that its threads end before what they use.
+  // Last member, so that its threads end before the members that they use are
+  // destroyed.
   ThreadedListener listener_;
 };
 
-// Another request's answer reaches nobody; where the own one comes, it is
-// served.
+// Checks that the caller got no other request's response; with `is_served`,
+// also that it got its own.
 void CheckOwnOrNone(const RecordedCaller& caller,
                     const std::string& id,
                     bool is_served = false) {
   REQUIRE(caller.reply_);
-  // The servers of these tests fail no call.
+  // The servers of these tests don't fail calls.
   CHECK(caller.reply_->status_ != 500);
   CHECK((!is_served || caller.reply_->status_ == 200));
   if (caller.reply_->status_ == 200) {
@@ -266,7 +267,7 @@
 
 }  // namespace
 
-TEST_CASE("a late second reply is nobody's") {
+TEST_CASE("a late second reply is discarded") {
   std::string late;
   bool is_whole = false;
   SECTION("that names the request it was for") {
@@ -283,27 +284,27 @@
         "HTTP/1.1 503 No\r\nX-Citronlane-Not-Run: 1\r\n"
         "Content-Length: 0\r\n\r\n";
   }
-  SECTION("that is cut in its head, so that the next one runs into it") {
+  SECTION("that is cut off in its head, so that the next one runs into it") {
     late = std::string("HTTP/1.1 200 OK\r\n") + kId + "a\r\n" + kSeal +
            "seal-of-a\r\nContent-Type: text/pl";
   }
-  SECTION("that is cut before it names anything") {
+  SECTION("that is cut off before it names anything") {
     late = "HTTP/1.1 500 Oops\r\nContent-Type: te";
   }
-  SECTION("that is cut in its status line") {
+  SECTION("that is cut off in its status line") {
     late = "HTTP/1.1 500 Oo";
   }
-  SECTION("that is cut in a header that names a version itself") {
+  SECTION("that is cut off in a header that contains an HTTP version") {
     late = "HTTP/1.1 500 Oops\r\nVia: HTTP/1.1 pro";
   }
-  SECTION("that is cut within what looks like a version") {
+  SECTION("that is cut off within what looks like an HTTP version") {
     late = "HTTP/1.1 500 Oops\r\nVia: HTTP/1.";
   }
-  SECTION("that is cut in its body") {
+  SECTION("that is cut off in its body") {
     late = ReplyTo("a").substr(0, ReplyTo("a").size() - 3);
   }
-  // The second call's own reply comes right behind. Where it can't be told
-  // where that begins, the call is made again.
+  // The second call's own reply follows immediately. If it can't be determined
+  // where that begins, the call is repeated.
   std::vector<std::string> script = {ReplyTo("a"), late + ReplyTo("b"),
                                      ReplyTo("b"), ReplyTo("c")};
   if (is_whole) {
@@ -318,9 +319,9 @@
   CheckOwnOrNone(gateway.Ask("c"), "c", true);
 }
 
-// The route that was hit: each call on a connection of its own, where a late
-// reply can only come if the server mixes up its connections.
-TEST_CASE("a stream on a new connection takes no other request's reply") {
+// A streaming route uses a new connection for each call, where another
+// request's reply can only arrive if the server mixes up its connections.
+TEST_CASE("a stream on a new connection accepts no other request's reply") {
   std::string other;
   SECTION("that names that request") {
     other = ReplyTo("a");
@@ -328,7 +329,7 @@
   SECTION("that names none") {
     other = Reply(std::string(kSeal) + "seal-of-a\r\n", Answer("a"));
   }
-  SECTION("that is cut in its head") {
+  SECTION("that is cut off in its head") {
     other = std::string("HTTP/1.1 200 OK\r\n") + kId + "a\r\n" + kSeal +
             "seal-of-a\r\nContent-Type: text/ev";
   }
@@ -337,7 +338,7 @@
   CheckOwnOrNone(gateway.Ask("b"), "b");
 }
 
-TEST_CASE("a reply shows that it is the request's own") {
+TEST_CASE("a reply must show that it belongs to the request") {
   std::string reply;
   SECTION("by naming it, once") {
     reply = Reply(
@@ -362,8 +363,9 @@
   CHECK(caller.reply_->status_ != 200);
 }
 
-// Its calls share their name, which so tells nothing.
-TEST_CASE("a request's second call meets no late reply to its first") {
+// Both calls have the same request id, which therefore can't tell their replies
+// apart: the second call has to use another connection.
+TEST_CASE("a request's second call gets no late reply to its first") {
   const std::string failure = "HTTP/1.1 500 Oops\r\n" + std::string(kId) +
                               "b\r\n" + kSeal +
                               "seal-of-b\r\nContent-Length: 0\r\n\r\n";
@@ -375,13 +377,13 @@
   CHECK(server.connections() == 2);
 }
 
-// A server that can't read a call answers without its name. On a connection
-// that carried nothing before it can only mean this call, which ends at once.
-TEST_CASE("a failure without a name on a new connection ends its call") {
+// A server that can't read a call replies without a request id. On a new
+// connection the reply can only belong to this call, which ends at once.
+TEST_CASE("a failure without a request id on a new connection ends its call") {
   const std::string refusal =
       "HTTP/1.1 400 No\r\nX-Citronlane-Not-Run: 1\r\n"
       "Content-Length: 0\r\n\r\n";
-  // Both entries are asked.
+  // Both server entries are tried.
   ScriptedServer server({refusal, refusal, ReplyTo("c")});
   Gateway gateway(server.port());
   const RecordedCaller caller = gateway.Ask("b");
@@ -391,13 +393,13 @@
   CHECK(server.connections() == 3);
 }
 
-// Two requests' pieces, one after the other, at a server that answers the first
-// call twice.
-TEST_CASE("a stage call takes no other call's results") {
+// The pieces of two requests are sent one after the other to a server that
+// replies twice to the first call.
+TEST_CASE("a stage call accepts no other call's results") {
   std::string late;
   const std::string second =
       R"({"items":[{"handle":"h/b0"},{"handle":"h/b1"}]})";
-  SECTION("a second reply to the call before it") {
+  SECTION("a second reply to the previous call") {
     late = Reply("", R"({"items":[{"handle":"h/a0"},{"handle":"h/a1"}]})");
   }
   SECTION("a reply to a call of another size") {
@@ -406,21 +408,21 @@
   SECTION("a reply to a call that freed results") {
     late = Reply("", "{}");
   }
-  SECTION("a reply to a call that freed results, as the platform gives it") {
+  SECTION("an empty reply to a call that freed results") {
     late = Reply("", "");
   }
   ScriptedServer server(
       {Reply("", R"({"items":[{"handle":"h/a0"},{"handle":"h/a1"}]})"),
        late + Reply("", second)});
-  StagePress press(server.port());
-  press.Run("a");
-  CHECK(press.got_ == std::vector<std::string>{"h/a0", "h/a1"});
-  press.Run("b");
-  CHECK(press.got_ == std::vector<std::string>{"h/b0", "h/b1"});
+  SingleServerPool pool(server.port());
+  pool.Run("a");
+  CHECK(pool.got_ == std::vector<std::string>{"h/a0", "h/a1"});
+  pool.Run("b");
+  CHECK(pool.got_ == std::vector<std::string>{"h/b0", "h/b1"});
 }
 
-// Such a reply could be any call's: whatever comes behind it on its connection
-// is read by nobody.
+// Such a reply could belong to any call, so that its connection is not reused
+// and nothing after it is read.
 TEST_CASE("a stage reply that names no result is the last on its connection") {
   std::string reply;
   SECTION("nothing was made") {
@@ -433,15 +435,16 @@
   }
   const std::string made = R"({"items":[{"handle":"h/0"},{"handle":"h/1"}]})";
   ScriptedServer server({reply, Reply("", made)});
-  StagePress press(server.port());
-  press.Run("a");
-  CHECK(press.got_ == std::vector<std::string>{"h/0", "h/1"});
+  SingleServerPool pool(server.port());
+  pool.Run("a");
+  CHECK(pool.got_ == std::vector<std::string>{"h/0", "h/1"});
   CHECK(server.connections() == 2);
 }
 
-// The first call's pieces are made again (its results were gone) together with
-// another request's, and its late second reply comes first.
-TEST_CASE("a stage reply is checked by all that it names") {
+// A piece of the first call is made again, because its result was gone, in one
+// call with another request's piece, and the late second reply to the first
+// call comes first.
+TEST_CASE("a stage reply is checked by all its handles") {
   const auto piece = [](const std::string& request, uint32_t number) {
     StagePiece made;
     made.request_id_ = request;
@@ -466,7 +469,7 @@
 
 // Calls that free results share the connections of stage calls, and their
 // replies name nothing.
-TEST_CASE("a late second reply to a call that freed results costs no call") {
+TEST_CASE("a late second reply to a call that freed results fails no call") {
   std::string free_reply;
   SECTION("that was a success") {
     free_reply = Reply("", "");
@@ -474,27 +477,28 @@
   SECTION("that was a refusal") {
     free_reply = kRefusal;
   }
-  FreesTwiceServer server(free_reply);
-  StagePress press(server.port());
-  press.Run("a");
-  CHECK(press.got_.size() == 2);
-  press.Free();
-  press.Run("b");
-  CHECK(press.got_.size() == 2);
-  // One call made a's pieces, one b's.
+  RepeatingFreeServer server(free_reply);
+  SingleServerPool pool(server.port());
+  pool.Run("a");
+  CHECK(pool.got_.size() == 2);
+  pool.Free();
+  pool.Run("b");
+  CHECK(pool.got_.size() == 2);
+  // One call made the pieces of a, one those of b.
   CHECK(server.made() == 2);
 }
 
-// The server works on b's pieces; its refusals later are of repeats.
-TEST_CASE("a refusal of a call that freed results is no stage call's") {
-  FreesTwiceServer server(kRefusal, 2, 1);
-  StagePress press(server.port());
-  press.Run("a", 1);
-  CHECK(press.got_.size() == 1);
-  press.Free();
-  press.Run("b", 1);
+// The refused call is the one that freed results. The server accepts b's piece;
+// it would refuse only a repetition of that call.
+TEST_CASE("a refusal of a call that freed results refuses no stage call") {
+  RepeatingFreeServer server(kRefusal, 2, 1);
+  SingleServerPool pool(server.port());
+  pool.Run("a", 1);
+  CHECK(pool.got_.size() == 1);
+  pool.Free();
+  pool.Run("b", 1);
   CHECK(server.made() == 2);
-  CHECK_FALSE(press.not_run_);
+  CHECK_FALSE(pool.not_run_);
 }
 
 }  // namespace citronlane
--- a/tests/unit-stage-adapter.cc
+++ b/tests/unit-stage-adapter.cc
@@ -70,7 +70,7 @@
           R"(Question: which?\n","max_tokens":64,"stream":true,"priority":0})");
   }
 
-  SECTION("writes how a stream goes on") {
+  SECTION("writes how to resume or continue a stream") {
     StartCall start;
     start.offset_ = 3;
     start.resumed_ = {"r", 3, 0};
@@ -99,7 +99,7 @@
     CHECK(ranked.documents_->at(0).score_ == 0.9);
   }
 
-  SECTION("refuses replies of another shape") {
+  SECTION("rejects replies of another format") {
     const std::vector<std::pair<StageKind, std::string>> cases = {
         {StageKind::kEncoder, "{\"data\": ["},
         {StageKind::kEncoder, R"({"data":[]})"},
@@ -126,10 +126,11 @@
     return true;
   });
 
-  SECTION("reads tokens however the bytes are cut") {
+  SECTION("reads tokens however the bytes are split") {
     const std::string text = ": comment\r\n" + TokenEvent(0) +
                              TokenEvent(1, "\"stop\"") + "data: [DONE]\n\n";
-    CHECK(rc::check("cut anywhere", [&text](const std::vector<uint8_t>& cuts) {
+    CHECK(rc::check("split anywhere", [&text](
+                                          const std::vector<uint8_t>& cuts) {
       std::vector<std::string> seen;
       StageTokenReader cut(256, [&seen](const Token& token) {
         seen.push_back(token.text_ + token.finish_reason_);
@@ -146,7 +147,7 @@
     }));
   }
 
-  SECTION("refuses what is no token") {
+  SECTION("rejects events that are no tokens") {
     for (const char* bad :
          {"data: {\n", "data: {\"offset\":-1}\n",
           "data: {\"offset\":0.5,\"choices\":[{\"text\":\"t\"}]}\n",
@@ -158,12 +159,12 @@
     }
   }
 
-  SECTION("bounds an event without end") {
+  SECTION("limits the size of an event without an end") {
     CHECK(reader.Feed("data: "));
     CHECK_FALSE(reader.Feed(std::string(300, 'x')));
   }
 
-  SECTION("takes nothing after the end") {
+  SECTION("rejects events after the end") {
     CHECK(reader.Feed("data: [DONE]\n"));
     CHECK_FALSE(reader.Feed(TokenEvent(2)));
     CHECK(tokens.empty());
--- a/tests/unit-stage-client.cc
+++ b/tests/unit-stage-client.cc
@@ -18,8 +18,8 @@
 const std::string kept_reply =
     "HTTP/1.1 200 OK\r\nX-Attempt-Id: r/0/0\r\nContent-Length: 2\r\n\r\nok";
 
-/// A client with what its calls told.
-struct Bench {
+/// A client that records the hooks of its calls.
+struct ClientHarness {
   void Run(uint16_t port, bool fresh = false, bool streams = false) {
     StageCallSpec spec;
     spec.address_ = "127.0.0.1";
@@ -38,7 +38,7 @@
       head_ = head;
       return true;
     };
-    hooks.data_ = [this](std::string_view piece) { body_ += piece; };
+    hooks.data_ = [this](std::string_view fragment) { body_ += fragment; };
     hooks.done_ = [this](CallOutcome outcome, const std::string& body) {
       outcomes_.push_back(outcome);
       body_ += body;
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-TEST_CASE("stage call whose io_context goes") {
+TEST_CASE("stage call whose io_context is destroyed") {
   ScriptedServer server({""});
   struct Owner {
     std::shared_ptr<StageCall> call_;
@@ -80,8 +80,8 @@
     hooks.head_ = [owner](const StageReplyHead&) { return true; };
     hooks.done_ = [owner](CallOutcome, const std::string&) {};
     owner->call_ = client.Start(std::move(spec), std::move(hooks));
-    SECTION("before it began drops its hooks") {}
-    SECTION("while it waits drops its hooks") {
+    SECTION("before it has started destroys its hooks") {}
+    SECTION("while it waits destroys its hooks") {
       while (!owner->sent_) {
         io.run_one();
       }
@@ -92,73 +92,74 @@
 }
 
 TEST_CASE("stage client") {
-  Bench bench;
+  ClientHarness harness;
 
-  SECTION("uses a connection again") {
+  SECTION("reuses a connection") {
     ScriptedServer server({kept_reply, kept_reply});
-    bench.Run(server.port());
-    bench.Run(server.port());
-    CHECK(bench.body_ == "okok");
-    CHECK(bench.head_.echoed_id_ == "r/0/0");
+    harness.Run(server.port());
+    harness.Run(server.port());
+    CHECK(harness.body_ == "okok");
+    CHECK(harness.head_.echoed_id_ == "r/0/0");
     CHECK(server.connections() == 1);
   }
 
   SECTION("sends a call once when the server closes after reading it") {
     ScriptedServer server({kept_reply, "", kept_reply});
-    bench.Run(server.port());
-    bench.Run(server.port());
-    CHECK(bench.outcomes_.back() == CallOutcome::kClosedAfterSend);
-    CHECK(bench.sent_ == 2);
+    harness.Run(server.port());
+    harness.Run(server.port());
+    CHECK(harness.outcomes_.back() == CallOutcome::kClosedAfterSend);
+    CHECK(harness.sent_ == 2);
     CHECK(server.reads() == 2);
-    bench.Run(server.port());
-    CHECK(bench.outcomes_.back() == CallOutcome::kSuccess);
+    harness.Run(server.port());
+    CHECK(harness.outcomes_.back() == CallOutcome::kSuccess);
   }
 
-  SECTION("leaves a connection that the server closed meanwhile") {
+  SECTION("discards a connection that the server has closed") {
     ScriptedServer server({kept_reply, "!", kept_reply});
-    bench.Run(server.port());
+    harness.Run(server.port());
     server.WaitForClose();
-    bench.Run(server.port());
-    CHECK(bench.outcomes_.back() == CallOutcome::kSuccess);
-    CHECK(bench.sent_ == 2);
+    harness.Run(server.port());
+    CHECK(harness.outcomes_.back() == CallOutcome::kSuccess);
+    CHECK(harness.sent_ == 2);
     CHECK(server.connections() == 2);
   }
 
-  SECTION("never uses a connection again for a call that may not repeat") {
+  SECTION("never reuses a connection for a call that must not be repeated") {
     ScriptedServer server({kept_reply, kept_reply});
-    bench.Run(server.port());
-    bench.Run(server.port(), true);
+    harness.Run(server.port());
+    harness.Run(server.port(), true);
     CHECK(server.connections() == 2);
   }
 
-  SECTION("keeps no connection after a reply that names no or another call") {
+  SECTION(
+      "keeps no connection after a reply that echoes no id or another one") {
     const std::string other =
         "HTTP/1.1 200 OK\r\nX-Attempt-Id: r/9/0\r\nContent-Length: 0\r\n\r\n";
     const std::string nobodys = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     ScriptedServer server({kept_reply, other, nobodys, kept_reply});
-    bench.attempt_id_ = "r/0/0";
+    harness.attempt_id_ = "r/0/0";
     for (int call = 0; call < 4; ++call) {
-      bench.Run(server.port());
+      harness.Run(server.port());
     }
     CHECK(server.connections() == 3);
   }
-  SECTION("takes no reply that an unfinished one ran into") {
+  SECTION("accepts no reply that an incomplete one ran into") {
     ScriptedServer server({"HTTP/1.1 200 OK\r\nContent-Type: te" + kept_reply});
-    bench.Run(server.port());
-    CHECK(bench.outcomes_.back() == CallOutcome::kWrongId);
+    harness.Run(server.port());
+    CHECK(harness.outcomes_.back() == CallOutcome::kWrongId);
   }
-  SECTION("sends nothing when no connection is made") {
+  SECTION("sends nothing when it can't connect") {
     uint16_t port = 0;
     {
       ScriptedServer gone({});
       port = gone.port();
     }
-    bench.Run(port);
-    CHECK(bench.outcomes_.back() == CallOutcome::kConnectFailed);
-    CHECK(bench.sent_ == 0);
+    harness.Run(port);
+    CHECK(harness.outcomes_.back() == CallOutcome::kConnectFailed);
+    CHECK(harness.sent_ == 0);
   }
 
-  SECTION("tells cut, oversized and malformed replies from whole ones") {
+  SECTION("detects incomplete, oversized and malformed replies") {
     const std::vector<std::pair<std::string, CallOutcome>> cases = {
         {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
          CallOutcome::kClosedAfterSend},
@@ -171,30 +172,30 @@
     for (const auto& [reply, outcome] : cases) {
       INFO(reply.substr(0, 60));
       ScriptedServer server({reply, "!"});
-      bench.Run(server.port());
-      CHECK(bench.outcomes_.back() == outcome);
+      harness.Run(server.port());
+      CHECK(harness.outcomes_.back() == outcome);
     }
   }
 
-  SECTION("gives a stream piece by piece, and knows when it is cut") {
+  SECTION("passes a stream on in fragments and detects that it is incomplete") {
     const std::string head =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n";
     ScriptedServer server({head + "1\r\nc\r\n0\r\n\r\n", head, "!"});
-    bench.Run(server.port(), false, true);
-    CHECK(bench.body_ == "abc");
-    CHECK(bench.outcomes_.back() == CallOutcome::kSuccess);
-    bench.Run(server.port(), false, true);
-    CHECK(bench.outcomes_.back() == CallOutcome::kClosedAfterSend);
+    harness.Run(server.port(), false, true);
+    CHECK(harness.body_ == "abc");
+    CHECK(harness.outcomes_.back() == CallOutcome::kSuccess);
+    harness.Run(server.port(), false, true);
+    CHECK(harness.outcomes_.back() == CallOutcome::kClosedAfterSend);
   }
 
   SECTION("reads the load that a server reports") {
     ScriptedServer server(
         {"HTTP/1.1 503 Busy\r\nX-Load: 7.5\r\nX-Load-Age-Ms: 20\r\n"
          "X-Draining: 1\r\nContent-Length: 0\r\n\r\n"});
-    bench.Run(server.port());
-    CHECK(bench.head_.load_ == 7.5);
-    CHECK(bench.head_.load_age_ == std::chrono::milliseconds(20));
-    CHECK(bench.head_.draining_);
+    harness.Run(server.port());
+    CHECK(harness.head_.load_ == 7.5);
+    CHECK(harness.head_.load_age_ == std::chrono::milliseconds(20));
+    CHECK(harness.head_.draining_);
   }
 }
 
