--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -135,7 +135,7 @@
         shard->thread_.join();
       }
     }
-    return !cut_off_;
+    return !aborted_;
   }
 
   void OnLeaving(std::string_view server, uint64_t incarnation) {
@@ -291,13 +291,13 @@
     std::this_thread::sleep_for(options_.drain_notice_);
     state_.RefuseNewWork();
     Log("draining: refusing new requests");
-    cut_off_ = !WaitUntil(options_.drain_limit_,
+    aborted_ = !WaitUntil(options_.drain_limit_,
                           [this] { return listener_->active_requests() == 0; });
     listener_->StopAccepting();
     WaitUntil(kConnectionCloseTimeout,
               [this] { return listener_->connections() == 0; });
     WaitUntil(kFinalFlushTimeout, [this] { return FlushRefusals(); });
-    Log(cut_off_ ? "stopped; requests in flight were aborted at the drain limit"
+    Log(aborted_ ? "stopped; requests in flight were aborted at the drain limit"
                  : "stopped; no requests were aborted");
   }
 
@@ -319,7 +319,7 @@
   std::condition_variable stop_changed_;
   bool stopping_ = false;
   uint64_t dropped_reported_ = 0;
-  std::atomic<bool> cut_off_{false};
+  std::atomic<bool> aborted_{false};
 };
 
 Gateway::Gateway(GatewayOptions options, GatewayHooks hooks)
--- a/src/transport/config_feed.cc
+++ b/src/transport/config_feed.cc
@@ -31,7 +31,7 @@
 
   void Push(Bytes bytes) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (is_over_) {
+    if (has_ended_) {
       return;
     }
     if (queue_.size() >= kMaxQueued) {
@@ -46,7 +46,7 @@
 
   void Stop(grpc::StatusCode code, const char* reason) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!is_over_) {
+    if (!has_ended_) {
       End(code, reason);
     }
   }
@@ -54,7 +54,7 @@
   void OnWriteDone(bool ok) override {
     const std::lock_guard<std::mutex> lock(mutex_);
     queue_.pop_front();
-    if (is_over_) {
+    if (has_ended_) {
       return;
     }
     if (!ok) {
@@ -76,14 +76,14 @@
  private:
   // Preconditions: mutex_ is held; not called before.
   void End(grpc::StatusCode code, const char* reason) {
-    is_over_ = true;
+    has_ended_ = true;
     Finish(grpc::Status(code, reason));
   }
 
   ConfigFeed* const feed_;
   std::mutex mutex_;
   std::deque<Bytes> queue_;
-  bool is_over_ = false;
+  bool has_ended_ = false;
 };
 
 ConfigFeed::ConfigFeed(size_t max_watchers) : max_watchers_(max_watchers) {}
--- a/src/transport/stage_client.cc
+++ b/src/transport/stage_client.cc
@@ -68,7 +68,7 @@
              spec_.connection_group_) {}
 
   void Cancel() override {
-    over_ = true;
+    ended_ = true;
     if (connection_) {
       connection_->stream_.close();
     }
@@ -78,7 +78,7 @@
   void DropHooks() { hooks_ = StageCallHooks(); }
 
   void Run(const asio::yield_context& yield) {
-    if (!over_ && Connect(yield) && Send(yield)) {
+    if (!ended_ && Connect(yield) && Send(yield)) {
       if (spec_.streams_) {
         ReadStream(yield);
       } else {
@@ -89,8 +89,8 @@
 
  private:
   void Done(CallOutcome outcome, std::string body = {}) {
-    if (!over_) {
-      over_ = true;
+    if (!ended_) {
+      ended_ = true;
       const auto done = std::move(hooks_.done_);
       done(outcome, std::move(body));
     }
@@ -120,7 +120,7 @@
     }
     SetSocketOptions(connection_->stream_.socket().native_handle(),
                      kUnacknowledgedTimeoutMs);
-    return !over_;
+    return !ended_;
   }
 
   bool Send(const asio::yield_context& yield) {
@@ -129,7 +129,7 @@
       return false;
     }
     if (!hooks_.sending_()) {
-      over_ = true;
+      ended_ = true;
       return false;
     }
     const std::string text = detail::RequestText(spec_);
@@ -143,7 +143,7 @@
     if (error) {
       Done(OutcomeOf(error));
     }
-    return !over_;
+    return !ended_;
   }
 
   /// Reads the head of this call's reply. Skips interim replies and complete
@@ -152,7 +152,7 @@
   template <typename Body>
   bool ReadReplyHead(std::optional<http::response_parser<Body>>* parser,
                      const asio::yield_context& yield) {
-    for (int skipped = 0; skipped < kMaxSkippedReplies && !over_; ++skipped) {
+    for (int skipped = 0; skipped < kMaxSkippedReplies && !ended_; ++skipped) {
       parser->emplace();
       (*parser)->header_limit(pool_->limits().reply_header_bytes_);
       (*parser)->body_limit(pool_->limits().reply_body_bytes_);
@@ -183,10 +183,10 @@
       may_keep_ =
           may_keep_ && owner == ReplyOwner::kThisCall && EchoesThisCall(head_);
       connection_->idle_limit_ = detail::IdleLimit((*parser)->get());
-      if (!over_ && !hooks_.head_(head_)) {
-        over_ = true;
+      if (!ended_ && !hooks_.head_(head_)) {
+        ended_ = true;
       }
-      return !over_;
+      return !ended_;
     }
     Done(CallOutcome::kWrongId);
     return false;
@@ -204,8 +204,8 @@
     if (head.is_merged_) {
       return ReplyOwner::kUnclear;
     }
-    return hooks_.owner_ && !over_ ? hooks_.owner_(head)
-                                   : ReplyOwner::kThisCall;
+    return hooks_.owner_ && !ended_ ? hooks_.owner_(head)
+                                    : ReplyOwner::kThisCall;
   }
 
   /// Whether the reply echoes this call's id, if the server does so at all.
@@ -221,13 +221,13 @@
     AwaitNextReply();
     std::vector<char> sink(kReadBufferBytes);
     error_code error;
-    while (!parser->is_done() && !error && !over_) {
+    while (!parser->is_done() && !error && !ended_) {
       ReadSome(parser, &sink, yield, &error);
     }
     if (error) {
       Done(CallOutcome::kWrongId);
     }
-    return !error && !over_;
+    return !error && !ended_;
   }
 
   /// Makes `buffer` the target of the next read and returns its size.
@@ -263,13 +263,13 @@
   }
 
   void ReadCompleteReply(const asio::yield_context& yield) {
-    for (int skipped = 0; skipped < kMaxSkippedReplies && !over_; ++skipped) {
+    for (int skipped = 0; skipped < kMaxSkippedReplies && !ended_; ++skipped) {
       std::optional<http::response_parser<http::string_body>> parser;
       if (!ReadReplyHead(&parser, yield)) {
         return;
       }
       error_code error;
-      while (!parser->is_done() && !error && !over_) {
+      while (!parser->is_done() && !error && !ended_) {
         ExtendForRead();
         ReadSome(&*parser, nullptr, yield, &error);
       }
@@ -289,7 +289,7 @@
 
   /// Decides by the body whether the reply belongs to this call.
   bool BelongsToThisCall(std::string_view body) {
-    if (over_ || !hooks_.owner_by_body_) {
+    if (ended_ || !hooks_.owner_by_body_) {
       return true;
     }
     const ReplyOwner owner = hooks_.owner_by_body_(head_, body);
@@ -308,7 +308,7 @@
     }
     std::vector<char> buffer(kReadBufferBytes);
     bool begun = spec_.replies_immediately_;
-    while (!parser->is_done() && !over_) {
+    while (!parser->is_done() && !ended_) {
       if (begun) {
         ExtendForRead();
       }
@@ -318,12 +318,12 @@
         Done(OutcomeOf(error));
         return;
       }
-      if (got > 0 && !over_) {
+      if (got > 0 && !ended_) {
         begun = true;
         hooks_.data_(std::string_view(buffer.data(), got));
       }
     }
-    if (!over_) {
+    if (!ended_) {
       Keep(parser->get().keep_alive());
       Done(CallOutcome::kSuccess);
     }
@@ -341,7 +341,7 @@
   void Keep(bool keep_alive) {
     const bool drained = connection_->buffer_.size() == 0;
     if (keep_alive && drained && may_keep_ && !spec_.fresh_connection_ &&
-        !over_) {
+        !ended_) {
       pool_->PutIdle(key_, std::move(connection_));
     }
   }
@@ -355,7 +355,7 @@
   StageReplyHead head_;
   bool kept_connection_ = false;
   bool may_keep_ = true;
-  bool over_ = false;
+  bool ended_ = false;
 };
 
 }  // namespace
