--- a/src/transport/config_feed.cc
+++ b/src/transport/config_feed.cc
@@ -10,7 +10,7 @@
 namespace citronlane {
 namespace {
 
-/// Updates that may wait for one watcher.
+/// Maximum number of unsent updates of one watcher.
 constexpr size_t kMaxQueued = 64;
 
 std::shared_ptr<const grpc::ByteBuffer> Serialize(
@@ -24,14 +24,14 @@
 
 }  // namespace
 
-/// One watcher's stream; deletes itself at its end.
+/// The stream of one watcher; deletes itself when it has ended.
 class ConfigFeed::WatchStream final : public Stream {
  public:
   explicit WatchStream(ConfigFeed* feed) : feed_(feed) {}
 
   void Push(Bytes bytes) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (is_over_) {
+    if (has_ended_) {
       return;
     }
     if (queue_.size() >= kMaxQueued) {
@@ -46,7 +46,7 @@
 
   void Stop(grpc::StatusCode code, const char* reason) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    if (!is_over_) {
+    if (!has_ended_) {
       End(code, reason);
     }
   }
@@ -54,18 +54,18 @@
   void OnWriteDone(bool ok) override {
     const std::lock_guard<std::mutex> lock(mutex_);
     queue_.pop_front();
-    if (is_over_) {
+    if (has_ended_) {
       return;
     }
     if (!ok) {
-      End(grpc::StatusCode::UNAVAILABLE, "The watcher is gone.");
+      End(grpc::StatusCode::UNAVAILABLE, "The watcher has disconnected.");
     } else if (!queue_.empty()) {
       StartWrite(queue_.front().get());
     }
   }
 
   void OnCancel() override {
-    Stop(grpc::StatusCode::CANCELLED, "The watcher is gone.");
+    Stop(grpc::StatusCode::CANCELLED, "The watcher has disconnected.");
   }
 
   void OnDone() override {
@@ -74,16 +74,16 @@
   }
 
  private:
-  // Precondition: mutex_ is held, and this is the first call.
+  // Preconditions: mutex_ is held; not called before.
   void End(grpc::StatusCode code, const char* reason) {
-    is_over_ = true;
+    has_ended_ = true;
     Finish(grpc::Status(code, reason));
   }
 
   ConfigFeed* const feed_;
   std::mutex mutex_;
   std::deque<Bytes> queue_;
-  bool is_over_ = false;
+  bool has_ended_ = false;
 };
 
 ConfigFeed::ConfigFeed(size_t max_watchers) : max_watchers_(max_watchers) {}
@@ -120,7 +120,7 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   catch_ups_.clear();
   for (WatchStream* stream : streams_) {
-    stream->Stop(grpc::StatusCode::UNAVAILABLE, "The stream starts anew.");
+    stream->Stop(grpc::StatusCode::UNAVAILABLE, "The stream is restarted.");
   }
 }
 
