--- a/include/citronlane/consensus/detail/lease_rounds.h
+++ b/include/citronlane/consensus/detail/lease_rounds.h
@@ -8,17 +8,18 @@
 
 namespace citronlane {
 
-/// Numbers the rounds in which a leader asks its followers, and remembers when
-/// each began: an answer to a round proves contact no earlier than that. Not
-/// thread safe.
+/// Numbers a leader's heartbeat rounds and records when each began: a reply to
+/// a round proves contact no earlier than its begin. Not thread safe.
 class LeaseRounds {
  public:
-  /// Starts a round and forgets those that began before `horizon`.
+  /// Starts a round and drops those that began before `horizon`. Returns its
+  /// number.
   uint64_t Begin(TimePoint now, TimePoint horizon);
 
   uint64_t current() const { return current_; }
 
-  /// When the round began; the clock's epoch when it is unknown or forgotten.
+  /// Time at which `round` began; the clock's epoch when it is unknown or was
+  /// dropped.
   TimePoint BeganAt(uint64_t round) const;
 
  private:
--- a/include/citronlane/consensus/detail/membership_history.h
+++ b/include/citronlane/consensus/detail/membership_history.h
@@ -13,7 +13,8 @@
 namespace citronlane {
 
 /// The memberships in a node's log. The newest one is in force, committed or
-/// not; when its entry is replaced, the one before returns. Not thread safe.
+/// not; when its entry is truncated, the previous one is in force again. Not
+/// thread safe.
 class MembershipHistory {
  public:
   MembershipHistory(uint64_t index, Membership membership);
@@ -21,14 +22,16 @@
   const Membership& current() const { return items_.back().membership_; }
   uint64_t current_index() const { return items_.back().index_; }
 
-  /// Takes in the membership entries among `entries`. One that can not be
-  /// decoded is skipped: its leader would have refused to write it.
+  /// Adds the membership entries among `entries`. One that can not be decoded
+  /// is skipped: no leader writes such an entry.
   void Append(absl::Span<const Entry> entries);
-  /// The log was cut: its entries from `index` on are gone.
+  /// Removes the memberships of the entries from `index` on, after the log was
+  /// truncated there.
   void Truncate(uint64_t index);
-  /// The log was compacted up to `index`.
+  /// Removes the memberships that are no longer in force at `index`, after the
+  /// log was compacted up to it.
   void Compact(uint64_t index);
-  /// The log was replaced by a snapshot.
+  /// Replaces the history by the membership of a snapshot at `index`.
   void Reset(uint64_t index, Membership membership);
   /// The membership in force at `index`, not above the last entry.
   const Membership& At(uint64_t index) const;
@@ -38,15 +41,16 @@
     uint64_t index_ = 0;
     Membership membership_;
   };
-  /// Never empty; the first is the snapshot's.
+  /// Never empty; the first is the one in force at the last snapshot.
   std::deque<Item> items_;
 };
 
-/// Whether `next` may follow `current`: exactly one node differs, a new node is
-/// a learner with an id never used, and some voter is left. Sets the reason.
-bool IsValidMembershipStep(const Membership& current,
-                           const Membership& next,
-                           Error* error);
+/// Returns whether `next` may follow `current`: exactly one node differs, a new
+/// node is a learner with an id above `current.last_id_`, and `next` has 1 to 7
+/// voters. Sets `error` when not.
+bool IsValidMembershipChange(const Membership& current,
+                             const Membership& next,
+                             Error* error);
 
 }  // namespace citronlane
 
--- a/include/citronlane/consensus/detail/progress.h
+++ b/include/citronlane/consensus/detail/progress.h
@@ -10,40 +10,43 @@
 
 namespace citronlane {
 
-/// What a leader knows of one other node's log.
+/// Replication state that a leader keeps for one other node.
 struct Progress {
   enum class Mode {
-    /// The matching position is unknown: one append at a time.
+    /// The matching position is unknown: one append is sent at a time.
     kProbe,
     /// Appends are pipelined.
     kReplicate,
-    /// The node needs entries that were compacted: a snapshot goes in parts.
+    /// The node needs entries that were compacted: a snapshot is sent in parts.
     kSnapshot,
   };
 
   Mode mode_ = Mode::kProbe;
-  /// Highest entry known to be on the node's synced disk.
+  /// Highest entry known to be synced to the node's disk.
   uint64_t match_ = 0;
   /// Next entry to send.
   uint64_t next_ = 1;
-  /// Highest commit index told to the node.
+  /// Highest commit index sent to the node by an append.
   uint64_t sent_commit_ = 0;
-  /// kProbe: an append is out and unanswered.
+  /// kProbe: an append was sent and has no reply yet.
   bool probe_sent_ = false;
-  /// kReplicate: last index of each append that is out.
+  /// kReplicate: last index of each append in flight.
   std::deque<uint64_t> inflight_;
-  /// kSnapshot: what is being sent, the next part, and when it went out.
+  /// kSnapshot: the snapshot being sent, the offset of the current part, and
+  /// when that part was sent.
   std::shared_ptr<const Snapshot> snapshot_;
   uint64_t offset_ = 0;
   TimePoint part_sent_{};
-  /// Highest round answered, and the incarnation that answered.
+  /// Highest heartbeat round that the node replied to, and the disk incarnation
+  /// in its last reply.
   uint64_t acked_round_ = 0;
   uint64_t incarnation_ = 0;
 
   void BecomeProbe();
   void BecomeReplicate();
   void BecomeSnapshot(std::shared_ptr<const Snapshot> snapshot);
-  /// Entries up to `index` are stored at the node. Returns whether that is new.
+  /// Records that the node stored the entries up to `index`. Returns whether
+  /// `match_` advanced.
   bool Acknowledge(uint64_t index);
 };
 
--- a/include/citronlane/consensus/detail/quorum.h
+++ b/include/citronlane/consensus/detail/quorum.h
@@ -8,13 +8,13 @@
 
 namespace citronlane {
 
-/// Nodes of `voters` that make a majority.
+/// Number of nodes that make a majority of `voters`.
 constexpr size_t QuorumSize(size_t voters) {
   return voters / 2 + 1;
 }
 
-/// Highest value that a majority has reached. `values` holds one for each voter
-/// and is not empty.
+/// Returns the highest value that a majority has reached. `values` holds one
+/// value for each voter and is not empty.
 template <typename Value>
 Value QuorumValue(std::vector<Value> values) {
   const auto nth =
--- a/include/citronlane/consensus/detail/raft_impl.h
+++ b/include/citronlane/consensus/detail/raft_impl.h
@@ -17,7 +17,7 @@
 
 namespace citronlane {
 
-/// Inner part of RaftNode; src/consensus/raft_*.cc hold one topic each.
+/// Implementation of RaftNode; each src/consensus/raft_*.cc holds one topic.
 class RaftNode::Impl {
  public:
   Impl(const RaftOptions& options,
@@ -52,9 +52,9 @@
  private:
   struct PendingRead {
     uint64_t context_ = 0;
-    /// Must be applied before the read is served.
+    /// Index that must be applied before the read is served.
     uint64_t index_ = 0;
-    /// Round that confirms it; 0 until one was started.
+    /// Heartbeat round that confirms it; 0 until one was started.
     uint64_t round_ = 0;
   };
   struct IncomingSnapshot {
@@ -77,15 +77,15 @@
 
   // raft_election.cc
   void ResetElectionDeadline();
-  bool HeardFromLeader() const;
-  void NoteLeader(uint64_t leader);
+  bool HasRecentLeaderContact() const;
+  void RecordLeaderContact(uint64_t leader);
   void BecomeFollower(uint64_t term, uint64_t leader);
   void BecomeLeader();
   bool MayCampaign() const;
   void Campaign();
   void StartPreVote();
-  void StartElection(bool asked_by_leader);
-  void AskForVotes(MessageKind kind, uint64_t term, bool asked_by_leader);
+  void StartElection(bool leadership_transfer);
+  void RequestVotes(MessageKind kind, uint64_t term, bool leadership_transfer);
   bool HasWon() const;
   bool HasLost() const;
   void HandleVoteRequest(const Message& message);
@@ -109,7 +109,7 @@
   void BroadcastHeartbeat();
   void HandleHeartbeat(const Message& message);
   void HandleHeartbeatReply(const Message& message);
-  Progress* NoteReply(const Message& message);
+  Progress* RecordReply(const Message& message);
   TimePoint QuorumContact() const;
   void ConfirmReads();
   void MaybeFinishTransfer(uint64_t id, const Progress& progress);
@@ -140,12 +140,13 @@
 
   // Elections.
   TimePoint election_deadline_;
-  /// Last word of a leader; votes are refused for an election timeout after it.
-  /// A restart counts as one, since what was heard before is forgotten.
+  /// Last message from a leader; vote requests are ignored for an election
+  /// timeout after it. A restart counts as one, since the contact before it is
+  /// not stored.
   TimePoint leader_contact_;
   std::map<uint64_t, bool> votes_;
 
-  // Leading.
+  // Leader only.
   std::map<uint64_t, Progress> progress_;
   LeaseRounds rounds_;
   TimePoint elected_at_;
@@ -154,17 +155,17 @@
   uint64_t transfer_to_ = 0;
   TimePoint transfer_deadline_;
 
-  // Following.
+  // Follower only.
   std::optional<IncomingSnapshot> incoming_;
 
-  // Handed over by the next Ready, and what the last one held.
+  // Contents of the next Ready, and the log positions of the last one.
   std::optional<Snapshot> received_snapshot_;
   std::vector<Message> early_messages_;
   std::vector<Message> messages_;
   std::vector<std::pair<uint64_t, uint64_t>> confirmed_reads_;
-  uint64_t handed_stored_index_ = 0;
-  uint64_t handed_stored_term_ = 0;
-  uint64_t handed_applied_ = 0;
+  uint64_t ready_stored_index_ = 0;
+  uint64_t ready_stored_term_ = 0;
+  uint64_t ready_applied_index_ = 0;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/consensus/detail/raft_log.h
+++ b/include/citronlane/consensus/detail/raft_log.h
@@ -13,8 +13,8 @@
 
 namespace citronlane {
 
-/// The log of one node in memory: a snapshot and the entries after it, and how
-/// far they are stored, committed and applied. Not thread safe.
+/// The in-memory log of one node: a snapshot and the entries after it, with the
+/// indexes up to which they are stored, committed and applied. Not thread safe.
 class RaftLog {
  public:
   /// `entries` follow `snapshot` without gaps.
@@ -28,24 +28,26 @@
   uint64_t applied() const { return applied_; }
   const std::shared_ptr<const Snapshot>& snapshot() const { return snapshot_; }
 
-  /// Term of the entry at `index`; 0 when it is not in the log (any more).
+  /// Term of the entry at `index`; 0 when it is not, or no longer, in the log.
   uint64_t TermAt(uint64_t index) const;
+  /// Whether the entry at `index`, or the position before the first entry, has
+  /// this term.
   bool Matches(uint64_t index, uint64_t term) const;
   /// The entry at `index`, which must be in the log.
   const Entry& At(uint64_t index) const;
 
-  /// Whether a log that ends at (`index`, `term`) holds all this one does, as
-  /// far as elections can tell.
+  /// Whether a log that ends at (`index`, `term`) is at least as up to date as
+  /// this one, by Raft's election rule.
   bool IsUpToDate(uint64_t index, uint64_t term) const;
 
   /// Highest index at or below `index` whose term is at most `term`.
   uint64_t FindConflict(uint64_t index, uint64_t term) const;
 
-  /// Adds the leader's new entry and returns its index.
+  /// Appends a new entry of the leader and returns its index.
   uint64_t Append(Entry entry);
 
-  /// Takes in entries that follow a matching one. Returns the first index that
-  /// was replaced, or 0 when nothing was. Never replaces committed entries.
+  /// Merges entries that follow a matching one. Returns the first index that
+  /// was replaced, or 0 when none was. Never replaces committed entries.
   uint64_t Merge(absl::Span<const Entry> entries);
 
   /// Copies entries from `index` on, at least one when there is one, up to the
@@ -54,25 +56,26 @@
                            size_t max_entries,
                            size_t max_bytes) const;
 
-  /// Copies what is not yet stored.
+  /// Copies the entries that are not yet stored.
   std::vector<Entry> Unstored() const;
-  /// Copies what is committed but not applied.
+  /// Copies the entries that are committed but not applied.
   std::vector<Entry> Unapplied() const;
 
   /// Raises the commit index, never past the last entry.
   void CommitTo(uint64_t index);
-  /// Entries up to (`index`, `term`) are on synced disk.
+  /// Records that the entries up to (`index`, `term`) are synced to disk;
+  /// ignored when that entry was replaced since.
   void MarkStored(uint64_t index, uint64_t term);
   void MarkApplied(uint64_t index);
 
-  /// Takes a snapshot of what is applied and drops the entries up to it, but
-  /// for the last ones within both limits.
+  /// Replaces the snapshot by a newer one of applied entries and drops the
+  /// entries up to it, except for the last ones within both limits.
   void Compact(Snapshot snapshot, uint64_t kept_entries, size_t kept_bytes);
-  /// Replaces the whole log by a snapshot of another node.
+  /// Replaces the complete log by a snapshot of another node.
   void Reset(Snapshot snapshot);
 
  private:
-  /// Shared with transfers in progress, which outlive a compaction.
+  /// Shared with snapshot transfers in progress, which outlive a compaction.
   std::shared_ptr<const Snapshot> snapshot_;
   /// Position before the first entry, at or below the snapshot's.
   uint64_t base_index_ = 0;
--- a/include/citronlane/consensus/entry.h
+++ b/include/citronlane/consensus/entry.h
@@ -6,9 +6,9 @@
 
 namespace citronlane {
 
-/// What a log entry carries.
+/// Type of a log entry's payload.
 enum class EntryKind : uint8_t {
-  /// Written by a new leader; applies nothing.
+  /// Appended by a new leader so that it can commit in its own term; empty.
   kNoOp = 0,
   /// A command of the replicated state machine.
   kCommand = 1,
--- a/include/citronlane/consensus/hard_state.h
+++ b/include/citronlane/consensus/hard_state.h
@@ -5,10 +5,11 @@
 
 namespace citronlane {
 
-/// What must be on synced disk before a node answers a vote or an append.
+/// Raft state that must be synced to disk before a node replies to a vote
+/// request or an append.
 struct HardState {
   uint64_t term_ = 0;
-  /// Node voted for in that term; 0 for none.
+  /// Id of the node that got this node's vote in `term_`; 0 if none did.
   uint64_t vote_ = 0;
 };
 
--- a/include/citronlane/consensus/membership.h
+++ b/include/citronlane/consensus/membership.h
@@ -7,17 +7,18 @@
 
 namespace citronlane {
 
-/// The control VMs of the cluster: voters decide, learners only receive the
-/// log. Each value is the "IP:port" of the internal service.
+/// The control VMs of the cluster by node id: voters elect leaders and commit
+/// entries, learners only receive the log. Each value is the "IP:port" of the
+/// VM's internal service.
 struct Membership {
   std::map<uint64_t, std::string> voters_;
   std::map<uint64_t, std::string> learners_;
-  /// Disk incarnation of each voter, written when it became one. A message from
-  /// the same id with another incarnation comes from a disk that was lost and
-  /// is ignored.
+  /// Disk incarnation of each voter, recorded when it became one. A message
+  /// with the voter's id and another incarnation is ignored: its sender started
+  /// on an empty disk and has lost its votes and entries.
   std::map<uint64_t, uint64_t> incarnations_;
-  /// Highest node id ever used. A new learner's id lies above it, so that no id
-  /// is used twice.
+  /// Highest node id ever used. A new learner's id must be above it, so that no
+  /// id is used twice.
   uint64_t last_id_ = 0;
 };
 
--- a/include/citronlane/consensus/membership_codec.h
+++ b/include/citronlane/consensus/membership_codec.h
@@ -10,11 +10,12 @@
 
 namespace citronlane {
 
-/// Returns the payload of a log entry of kind kMembership. Thread safe.
+/// Encodes the payload of a log entry of kind EntryKind::kMembership. Thread
+/// safe.
 std::string EncodeMembership(const Membership& membership);
 
-/// Reads what EncodeMembership wrote; nothing and a reason when it is damaged.
-/// Thread safe.
+/// Decodes a payload written by EncodeMembership. Returns nullopt and sets
+/// `error` when `data` is not a valid encoding. Thread safe.
 std::optional<Membership> DecodeMembership(std::string_view data, Error* error);
 
 }  // namespace citronlane
--- a/include/citronlane/consensus/message.h
+++ b/include/citronlane/consensus/message.h
@@ -9,7 +9,7 @@
 
 namespace citronlane {
 
-/// What a message between control VMs asks or answers.
+/// Type of a Raft message between control VMs.
 enum class MessageKind : uint8_t {
   kPreVote = 0,
   kPreVoteReply = 1,
@@ -24,31 +24,35 @@
   kTimeoutNow = 10,
 };
 
-/// One message of the consensus protocol. Fields that a kind does not use stay
-/// zero.
+/// One message of the Raft protocol. Fields that a kind does not use stay zero.
 struct Message {
   MessageKind kind_ = MessageKind::kHeartbeat;
-  /// Node ids; an id names one incarnation of a disk and is never reused.
+  /// Node ids of sender and receiver. An id belongs to one disk and is never
+  /// reused.
   uint64_t from_ = 0;
   uint64_t to_ = 0;
   /// Incarnation of the sender's disk; see Membership::incarnations_.
   uint64_t incarnation_ = 0;
   uint64_t term_ = 0;
   /// Log position the message refers to: the entry before `entries_`, the
-  /// candidate's last entry, the acknowledged entry, or the snapshot's last.
+  /// candidate's last entry, the acknowledged entry, or the snapshot's last
+  /// entry.
   uint64_t log_index_ = 0;
   uint64_t log_term_ = 0;
   uint64_t commit_ = 0;
-  /// Replies: whether the request was refused, and where to try next.
+  /// Replies: whether the request was rejected, and for an append the position
+  /// in the follower's log from which to retry.
   bool reject_ = false;
   uint64_t hint_index_ = 0;
   uint64_t hint_term_ = 0;
-  /// Round in which the leader sent this, echoed by the reply: confirms a
-  /// quorum read and the leader lease. In a vote: not 0 when the present leader
-  /// asked for the election.
+  /// Heartbeat round in which the leader sent this, echoed by the reply;
+  /// replies of a quorum confirm reads and the leader lease. In a vote request:
+  /// not 0 when the current leader started the election by kTimeoutNow.
   uint64_t context_ = 0;
   std::vector<Entry> entries_;
-  /// Snapshot transfer: one part at `offset_`, and whether it is the last.
+  /// Snapshot transfer: part of the snapshot's data in `data_`, its byte
+  /// offset, and whether it is the last part. In a reply, `offset_` is the
+  /// number of bytes received.
   uint64_t offset_ = 0;
   bool last_part_ = false;
   std::string data_;
--- a/include/citronlane/consensus/raft_node.h
+++ b/include/citronlane/consensus/raft_node.h
@@ -19,17 +19,21 @@
 
 namespace citronlane {
 
-/// Consensus of the control VMs: a pure state machine. Messages and the passage
-/// of time go in, a Ready comes out; it does no I/O, has no threads and reads
-/// no clock. Not thread safe.
+/// Raft consensus among the control VMs, as a pure state machine: the driver
+/// passes in messages and the current time and carries out the Ready that it
+/// returns. It does no I/O, starts no threads and reads no clock; storage,
+/// transport and the replicated state machine are the driver's. Not thread
+/// safe.
+///
+/// Every `now` comes from one monotonic clock and never decreases.
 class RaftNode {
  public:
-  /// Returns a number below its argument, which is at least 1.
+  /// Returns a random number below its argument, which is at least 1.
   using RandomHook = std::function<uint64_t(uint64_t)>;
 
-  /// Starts from what the disk holds: `hard_state`, the last `snapshot` (index
-  /// 0 when there is none; its membership is the initial one) and the `log`
-  /// after it, without gaps.
+  /// Starts from the state on disk: `hard_state`, the last `snapshot` (index 0
+  /// when there is none; its membership is the initial one) and the `log` after
+  /// it, without gaps.
   RaftNode(const RaftOptions& options,
            const HardState& hard_state,
            Snapshot snapshot,
@@ -40,66 +44,78 @@
   RaftNode(const RaftNode&) = delete;
   RaftNode& operator=(const RaftNode&) = delete;
 
-  /// Tells that time has passed; call at least every half heartbeat interval.
+  /// Advances the node's clock: sends heartbeats, starts elections, ends leases
+  /// and transfers that timed out. Call at least every half heartbeat interval.
   void Tick(TimePoint now);
 
-  /// Takes a message addressed to this node.
+  /// Processes a message received from a peer. Messages for another node id, or
+  /// from a sender whose disk incarnation is not the recorded one, are ignored.
   void Step(TimePoint now, const Message& message);
 
-  /// Appends a command to the log. Returns its index; nothing and a reason when
-  /// this node does not lead.
+  /// Appends a command to the log. Returns its index, or nullopt with `error`
+  /// set when this node is not the leader or is transferring the leadership. An
+  /// entry of that index may still be replaced until it is committed.
   std::optional<uint64_t> Propose(TimePoint now,
                                   std::string payload,
                                   Error* error);
 
-  /// Proposes a membership that differs from the present one by one node; the
-  /// leader fills in `incarnations_` and `last_id_`. Refused while another
+  /// Proposes a membership that differs from the current one by one node; the
+  /// leader fills in `incarnations_` and `last_id_`. Returns the index of its
+  /// entry, or nullopt with `error` set: when Propose would fail, while another
   /// change is not yet applied, before the leader has committed an entry of its
-  /// term, for a new node that is not a learner with an id above `last_id_`,
-  /// and for a learner that is not caught up to become a voter.
+  /// term, when a new node is not a learner with an id above `last_id_`, and
+  /// when a learner to be promoted has not caught up.
   std::optional<uint64_t> ProposeMembership(TimePoint now,
                                             const Membership& membership,
                                             Error* error);
 
-  /// Starts a quorum read; its context comes back in Ready::confirmed_reads_.
-  /// Refused when this node does not lead or has committed nothing in its term.
+  /// Starts a linearizable read: once a quorum has confirmed the leadership,
+  /// `context` is returned in Ready::confirmed_reads_; it never is when the
+  /// leadership is lost first. Returns false and sets `error` when Propose
+  /// would fail or the leader has committed nothing in its term.
   bool StartRead(TimePoint now, uint64_t context, Error* error);
 
-  /// Asks the voter `to`, or with 0 the one with the longest log, to take over
-  /// the lead (graceful stop of a leader). The lease ends at once.
+  /// Transfers the leadership to the voter `to`, or with 0 to the one with the
+  /// longest log, for the graceful stop of a leader. The lease ends at once and
+  /// proposals are refused from then on; without a new leader within an
+  /// election timeout this node steps down. Does nothing when this node is not
+  /// the leader, a transfer is in progress or `to` is not another voter.
   void TransferLeadership(TimePoint now, uint64_t to);
 
-  /// Hands over all pending work; call Advance once it has been carried out.
+  /// Returns all pending work; call Advance once it has been carried out.
   Ready TakeReady();
 
-  /// Tells that the last Ready was carried out: its entries are on synced disk
-  /// and its committed entries applied. No other call than the getters comes
+  /// Confirms that the last Ready was carried out: its entries are synced to
+  /// disk and its committed entries are applied. Only the getters may be called
   /// between TakeReady and Advance.
   void Advance(TimePoint now);
 
-  /// Drops the log up to the snapshot's index, which must have been applied.
+  /// Replaces the last snapshot by a newer one of applied entries and drops the
+  /// log entries up to it, except for those that RaftOptions keeps.
   void Compact(Snapshot snapshot);
 
   Role role() const;
   uint64_t term() const;
-  /// Known leader's id, or 0.
+  /// Id of the known leader, or 0.
   uint64_t leader() const;
-  /// Whether this node leads and a quorum answered within the leader lease.
+  /// Whether this node is the leader and a quorum replied within the leader
+  /// lease.
   bool HasLeaderLease(TimePoint now) const;
-  /// When the leader lease ends unless a quorum answers again; the clock's
-  /// epoch when there is none.
+  /// Time at which the leader lease ends unless a quorum replies again; the
+  /// clock's epoch when there is no lease.
   TimePoint lease_end() const;
   uint64_t commit_index() const;
   uint64_t applied_index() const;
   uint64_t last_index() const;
-  /// Membership in force: the newest in the log.
+  /// Membership in force: the newest in the log, committed or not.
   const Membership& membership() const;
   /// Membership in force at `index`, which is at or above the last snapshot.
   const Membership& membership_at(uint64_t index) const;
-  /// Term of the entry at `index`; 0 when it is not in the log (any more).
+  /// Term of the entry at `index`; 0 when it is not, or no longer, in the log.
   uint64_t TermAt(uint64_t index) const;
-  /// Whether the cluster knows this node's id with another disk's incarnation.
-  /// Such a node does nothing any more: it must join anew under a new id.
+  /// Whether the membership records another disk incarnation for this node's
+  /// id. Such a node ignores ticks and messages; it must join again under a new
+  /// id.
   bool identity_lost() const;
 
  private:
--- a/include/citronlane/consensus/ready.h
+++ b/include/citronlane/consensus/ready.h
@@ -12,21 +12,21 @@
 
 namespace citronlane {
 
-/// Work a RaftNode hands to its driver, to be carried out in this order: store
-/// and sync `snapshot_`, `hard_state_` and `entries_`; send `messages_`;
+/// Work that a RaftNode returns to its driver, to be carried out in this order:
+/// store and sync `snapshot_`, `hard_state_` and `entries_`; send `messages_`;
 /// install `snapshot_`; apply `committed_`; call RaftNode::Advance.
 struct Ready {
   std::optional<HardState> hard_state_;
-  /// Replace the stored log from the first of these on.
+  /// Entries to store; they replace the stored log from the first of them on.
   std::vector<Entry> entries_;
   std::optional<Snapshot> snapshot_;
-  /// May be sent at once, before the sync (appends of a leader).
+  /// Messages that may be sent before the sync (those of a leader).
   std::vector<Message> early_messages_;
-  /// Sent only once everything above is on synced disk.
+  /// Messages to send only once everything above is synced to disk.
   std::vector<Message> messages_;
   std::vector<Entry> committed_;
-  /// Contexts of quorum reads now confirmed, each with the index that must be
-  /// applied before the read is served.
+  /// Contexts of the confirmed reads (RaftNode::StartRead), each with the index
+  /// that must be applied before the read is served.
   std::vector<std::pair<uint64_t, uint64_t>> confirmed_reads_;
 
   bool IsEmpty() const;
--- a/include/citronlane/consensus/role.h
+++ b/include/citronlane/consensus/role.h
@@ -3,7 +3,7 @@
 
 namespace citronlane {
 
-/// Part a control VM plays in the present term.
+/// Raft role of a control VM in the current term.
 enum class Role { kFollower, kPreCandidate, kCandidate, kLeader, kLearner };
 
 }  // namespace citronlane
--- a/include/citronlane/consensus/snapshot.h
+++ b/include/citronlane/consensus/snapshot.h
@@ -8,8 +8,8 @@
 
 namespace citronlane {
 
-/// State of the replicated state machine after `index_`, with the membership
-/// in force there.
+/// State of the replicated state machine after the entry at `index_`, with the
+/// membership in force there.
 struct Snapshot {
   uint64_t index_ = 0;
   uint64_t term_ = 0;
--- a/src/consensus/membership_history.cc
+++ b/src/consensus/membership_history.cc
@@ -10,8 +10,8 @@
 
 constexpr size_t kMaxVoters = 7;
 
-// What a membership says of one node: part and address, or nothing.
-std::string PartOf(const Membership& membership, uint64_t id) {
+// Returns the role and address of a node, or "" when it is not a member.
+std::string DescribeMember(const Membership& membership, uint64_t id) {
   if (const auto it = membership.voters_.find(id);
       it != membership.voters_.end()) {
     return "voter " + it->second;
@@ -29,7 +29,7 @@
   for (const Membership* membership : {&current, &next}) {
     for (const auto* nodes : {&membership->voters_, &membership->learners_}) {
       for (const auto& [id, address] : *nodes) {
-        if (PartOf(current, id) != PartOf(next, id)) {
+        if (DescribeMember(current, id) != DescribeMember(next, id)) {
           ids.insert(id);
         }
       }
@@ -82,9 +82,9 @@
   return items_[i].membership_;
 }
 
-bool IsValidMembershipStep(const Membership& current,
-                           const Membership& next,
-                           Error* error) {
+bool IsValidMembershipChange(const Membership& current,
+                             const Membership& next,
+                             Error* error) {
   if (next.voters_.empty() || next.voters_.size() > kMaxVoters) {
     error->message_ = "a membership has 1 to 7 voters";
     return false;
@@ -95,7 +95,7 @@
     return false;
   }
   const uint64_t id = *changed.begin();
-  if (!PartOf(current, id).empty()) {
+  if (!DescribeMember(current, id).empty()) {
     return true;
   }
   if (next.voters_.count(id) != 0) {
--- a/src/consensus/raft_election.cc
+++ b/src/consensus/raft_election.cc
@@ -13,15 +13,16 @@
                            random_(std::max<uint64_t>(spread, 1))));
 }
 
-// While this holds the leader may hold a lease that counts on this node.
-bool RaftNode::Impl::HeardFromLeader() const {
+// While this holds, the leader may have a lease that depends on this node not
+// voting for another one.
+bool RaftNode::Impl::HasRecentLeaderContact() const {
   if (IsLeader()) {
     return now_ < QuorumContact() + options_.election_timeout_;
   }
   return now_ < leader_contact_ + options_.election_timeout_;
 }
 
-void RaftNode::Impl::NoteLeader(uint64_t leader) {
+void RaftNode::Impl::RecordLeaderContact(uint64_t leader) {
   if (role_ != Role::kFollower) {
     BecomeFollower(term(), leader);
   }
@@ -57,8 +58,8 @@
   BroadcastHeartbeat();
 }
 
-// A leader that removed itself may hold the only copy of that change: until it
-// is committed, nobody else can win, so it has to lead once more.
+// A leader that removed itself may hold the only copy of that change. Until it
+// is committed no other node can win an election, so this one has to.
 bool RaftNode::Impl::MayCampaign() const {
   return IsVoter(options_.id_) ||
          memberships_.At(log_.commit()).voters_.count(options_.id_) != 0;
@@ -82,10 +83,10 @@
     StartElection(false);
     return;
   }
-  AskForVotes(MessageKind::kPreVote, term() + 1, false);
+  RequestVotes(MessageKind::kPreVote, term() + 1, false);
 }
 
-void RaftNode::Impl::StartElection(bool asked_by_leader) {
+void RaftNode::Impl::StartElection(bool leadership_transfer) {
   role_ = Role::kCandidate;
   leader_ = 0;
   SetHardState(term() + 1, options_.id_);
@@ -96,12 +97,12 @@
     BecomeLeader();
     return;
   }
-  AskForVotes(MessageKind::kVote, term(), asked_by_leader);
+  RequestVotes(MessageKind::kVote, term(), leadership_transfer);
 }
 
-void RaftNode::Impl::AskForVotes(MessageKind kind,
-                                 uint64_t term,
-                                 bool asked_by_leader) {
+void RaftNode::Impl::RequestVotes(MessageKind kind,
+                                  uint64_t term,
+                                  bool leadership_transfer) {
   for (const auto& [id, address] : memberships_.current().voters_) {
     if (id == options_.id_) {
       continue;
@@ -112,7 +113,7 @@
     message.term_ = term;
     message.log_index_ = log_.last_index();
     message.log_term_ = log_.last_term();
-    message.context_ = asked_by_leader ? 1 : 0;
+    message.context_ = leadership_transfer ? 1 : 0;
     Send(std::move(message));
   }
 }
@@ -138,11 +139,13 @@
 
 void RaftNode::Impl::HandleVoteRequest(const Message& message) {
   const bool pre_vote = message.kind_ == MessageKind::kPreVote;
-  const bool free = pre_vote ? message.term_ > term()
-                             : hard_state_.vote_ == message.from_ ||
-                                   (hard_state_.vote_ == 0 && leader_ == 0);
-  // A node that has no membership yet knows nothing to vote by.
-  const bool granted = free && !memberships_.current().voters_.empty() &&
+  const bool vote_available =
+      pre_vote ? message.term_ > term()
+               : hard_state_.vote_ == message.from_ ||
+                     (hard_state_.vote_ == 0 && leader_ == 0);
+  // A node without a membership does not know who the voters are.
+  const bool granted = vote_available &&
+                       !memberships_.current().voters_.empty() &&
                        log_.IsUpToDate(message.log_index_, message.log_term_);
   if (granted && !pre_vote) {
     SetHardState(term(), message.from_);
--- a/src/consensus/raft_lease.cc
+++ b/src/consensus/raft_lease.cc
@@ -8,8 +8,8 @@
 namespace citronlane {
 
 void RaftNode::Impl::TickLeader() {
-  // A handover that was begun can not be taken back: the target may still act
-  // on it, so this term's lease is never claimed again.
+  // A transfer can not be cancelled: the target may still start its election,
+  // so the leader steps down instead of using its lease again in this term.
   const bool transfer_failed = transfer_to_ != 0 && now_ >= transfer_deadline_;
   const TimePoint contact = std::max(QuorumContact(), elected_at_);
   if (transfer_failed || now_ >= contact + options_.leader_lease_) {
@@ -42,13 +42,13 @@
 }
 
 void RaftNode::Impl::HandleHeartbeat(const Message& message) {
-  NoteLeader(message.from_);
+  RecordLeaderContact(message.from_);
   log_.CommitTo(message.commit_);
   Send(Reply(message, MessageKind::kHeartbeatReply));
 }
 
 void RaftNode::Impl::HandleHeartbeatReply(const Message& message) {
-  Progress* progress = NoteReply(message);
+  Progress* progress = RecordReply(message);
   if (progress == nullptr) {
     return;
   }
@@ -57,8 +57,8 @@
       progress->match_ >= log_.last_index()) {
     return;
   }
-  // Something may have been lost on the way: an append after the last one sent
-  // is refused then, and shows where to start again.
+  // An append may have been lost. An empty one at the next position is rejected
+  // then, and the reply shows from where to resend.
   if (progress->inflight_.size() >= options_.max_inflight_appends_) {
     progress->inflight_.pop_front();
   }
@@ -67,7 +67,7 @@
   }
 }
 
-Progress* RaftNode::Impl::NoteReply(const Message& message) {
+Progress* RaftNode::Impl::RecordReply(const Message& message) {
   const auto it = progress_.find(message.from_);
   if (!IsLeader() || it == progress_.end()) {
     return nullptr;
@@ -78,7 +78,7 @@
   return &progress;
 }
 
-// Latest moment at which a majority is known to have followed this leader.
+// Latest time at which a majority is known to have followed this leader.
 TimePoint RaftNode::Impl::QuorumContact() const {
   std::vector<TimePoint> contacts;
   for (const auto& [id, address] : memberships_.current().voters_) {
--- a/src/consensus/raft_membership.cc
+++ b/src/consensus/raft_membership.cc
@@ -12,7 +12,7 @@
   now_ = now;
   const Membership& current = memberships_.current();
   if (!CanPropose(error) ||
-      !IsValidMembershipStep(current, membership, error)) {
+      !IsValidMembershipChange(current, membership, error)) {
     return std::nullopt;
   }
   if (memberships_.current_index() > log_.applied()) {
@@ -47,7 +47,8 @@
   return index;
 }
 
-// Holds everything committed, on its disk, and answered just now.
+// Whether the node has every committed entry on disk and replied to a round of
+// the last election timeout.
 bool RaftNode::Impl::IsCaughtUp(uint64_t id) const {
   const auto it = progress_.find(id);
   return it != progress_.end() && it->second.match_ >= log_.commit() &&
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -23,7 +23,7 @@
     memberships_.Append(absl::MakeConstSpan(&log_.At(i), 1));
   }
   if (hard_state_.term_ < log_.last_term()) {
-    // A crash between storing a received log and its term.
+    // The node crashed after it stored a received log and before its term.
     hard_state_ = HardState{log_.last_term(), 0};
   }
   CheckIdentity();
@@ -51,7 +51,7 @@
   const bool asks_pre_vote = message.kind_ == MessageKind::kPreVote;
   const bool asks_vote = message.kind_ == MessageKind::kVote;
   if ((asks_pre_vote || asks_vote) && message.context_ == 0 &&
-      HeardFromLeader()) {
+      HasRecentLeaderContact()) {
     return;
   }
   if (message.term_ < term()) {
@@ -91,7 +91,7 @@
   }
 }
 
-// An old leader or candidate learns the newer term from the answer.
+// The reply carries the newer term to an old leader or candidate.
 void RaftNode::Impl::HandleOlderTerm(const Message& message) {
   switch (message.kind_) {
     case MessageKind::kAppend:
@@ -140,7 +140,8 @@
   hard_state_changed_ = true;
 }
 
-// What a leader sends says nothing of its own disk, so it need not wait for it.
+// A leader's messages confirm nothing about its own disk, so they need not wait
+// for the sync.
 void RaftNode::Impl::Send(Message message) {
   message.from_ = options_.id_;
   message.incarnation_ = options_.incarnation_;
@@ -164,7 +165,7 @@
     return false;
   }
   if (transfer_to_ != 0) {
-    error->message_ = "the lead is being handed over";
+    error->message_ = "a leadership transfer is in progress";
     return false;
   }
   return true;
@@ -196,7 +197,7 @@
   ready.messages_ = std::move(messages_);
   ready.early_messages_ = std::move(early_messages_);
   if (hard_state_changed_) {
-    // A new leader's term must be on disk before anybody hears of it.
+    // A new leader's term must be on disk before any message carries it.
     ready.hard_state_ = hard_state_;
     hard_state_changed_ = false;
     ready.messages_.insert(
@@ -209,16 +210,16 @@
   messages_.clear();
   early_messages_.clear();
   confirmed_reads_.clear();
-  handed_stored_index_ = log_.last_index();
-  handed_stored_term_ = log_.last_term();
-  handed_applied_ = log_.commit();
+  ready_stored_index_ = log_.last_index();
+  ready_stored_term_ = log_.last_term();
+  ready_applied_index_ = log_.commit();
   return ready;
 }
 
 void RaftNode::Impl::Advance(TimePoint now) {
   now_ = now;
-  log_.MarkStored(handed_stored_index_, handed_stored_term_);
-  log_.MarkApplied(handed_applied_);
+  log_.MarkStored(ready_stored_index_, ready_stored_term_);
+  log_.MarkApplied(ready_applied_index_);
   if (IsLeader()) {
     MaybeCommit();
     StepDownIfRemoved();
--- a/src/consensus/raft_replication.cc
+++ b/src/consensus/raft_replication.cc
@@ -41,13 +41,14 @@
         SendAppend(id, progress, options_.max_entries_per_append_);
     progress->inflight_.push_back(progress->next_ - 1);
   }
-  // Followers serve watches, so they hear of a commit at once.
+  // Followers serve watches, so a new commit index is sent at once.
   if (progress->sent_commit_ < std::min(log_.commit(), progress->match_)) {
     SendAppend(id, progress, 0);
   }
 }
 
-// Returns how many entries went out; none is a probe or news of a commit.
+// Returns the number of entries sent; an append without entries is a probe or
+// carries a new commit index.
 size_t RaftNode::Impl::SendAppend(uint64_t id,
                                   Progress* progress,
                                   size_t max_entries) {
@@ -66,8 +67,8 @@
   return sent;
 }
 
-// Guards the log against a peer of another version: its own leader never sends
-// anything else.
+// Rejects appends that would corrupt the log; no leader of this version sends
+// them.
 bool RaftNode::Impl::IsWellFormed(const Message& append) {
   uint64_t index = append.log_index_;
   uint64_t term = append.log_term_;
@@ -85,7 +86,7 @@
   if (!IsWellFormed(message)) {
     return;
   }
-  NoteLeader(message.from_);
+  RecordLeaderContact(message.from_);
   if (message.log_index_ < log_.commit()) {
     AcknowledgeAppend(message, log_.commit());
     return;
@@ -124,7 +125,7 @@
 }
 
 void RaftNode::Impl::HandleAppendReply(const Message& message) {
-  Progress* progress = NoteReply(message);
+  Progress* progress = RecordReply(message);
   if (progress == nullptr || message.log_index_ > log_.last_index()) {
     return;
   }
@@ -160,8 +161,8 @@
       std::max(progress->match_ + 1, std::min(candidate, message.log_index_));
 }
 
-// Only an entry of the leader's own term is committed by counting; those before
-// it go with it.
+// Only an entry of the leader's own term is committed by counting replicas; it
+// commits the entries before it as well (Raft, section 5.4.2).
 void RaftNode::Impl::MaybeCommit() {
   std::vector<uint64_t> stored;
   for (const auto& [id, address] : memberships_.current().voters_) {
--- a/src/consensus/raft_snapshot.cc
+++ b/src/consensus/raft_snapshot.cc
@@ -6,7 +6,7 @@
 namespace citronlane {
 namespace {
 
-// A part unanswered for this many heartbeats is sent again.
+// A part without a reply for this many heartbeat intervals is sent again.
 constexpr int kResendHeartbeats = 4;
 
 }  // namespace
@@ -44,7 +44,7 @@
 }
 
 void RaftNode::Impl::HandleSnapshotPart(const Message& message) {
-  NoteLeader(message.from_);
+  RecordLeaderContact(message.from_);
   if (log_.Matches(message.log_index_, message.log_term_)) {
     log_.CommitTo(message.log_index_);
   }
@@ -64,7 +64,7 @@
       return;
     }
   }
-  // The leader goes on from what is held here, whatever it sent.
+  // The leader continues from this offset, whichever part it sent.
   Message reply = Reply(message, MessageKind::kSnapshotReply);
   reply.log_index_ = message.log_index_;
   reply.offset_ = incoming_->data_.size();
@@ -97,7 +97,7 @@
 }
 
 void RaftNode::Impl::HandleSnapshotReply(const Message& message) {
-  Progress* progress = NoteReply(message);
+  Progress* progress = RecordReply(message);
   if (progress == nullptr || progress->mode_ != Progress::Mode::kSnapshot ||
       message.log_index_ != progress->snapshot_->index_ ||
       message.offset_ > progress->snapshot_->data_.size()) {
--- a/tests/unit-consensus-schedules.cc
+++ b/tests/unit-consensus-schedules.cc
@@ -10,7 +10,7 @@
 namespace citronlane {
 namespace {
 
-// Schedules of each kind; all of them together are over 10,000.
+// Schedules of each kind; the three kinds together have over 10,000.
 constexpr uint64_t kSchedules = 3400;
 constexpr int kScheduleTicks = 220;
 constexpr int kSettleTicks = 300;
@@ -23,8 +23,8 @@
   return text;
 }
 
-/// Faults that keep every disk: crashes, restarts, cuts.
-void Disturb(ConsensusSim* sim) {
+/// Injects faults that keep every disk: crashes, restarts, network partitions.
+void InjectFault(ConsensusSim* sim) {
   const std::vector<uint64_t> ids = sim->Ids();
   const uint64_t id = ids[sim->Random(ids.size())];
   const uint64_t other = ids[sim->Random(ids.size())];
@@ -60,8 +60,8 @@
   }
 }
 
-/// After all faults ended: a leader commits again and everybody follows.
-bool Settles(ConsensusSim* sim) {
+/// Whether a leader commits again and all voters follow once all faults ended.
+bool SettlesAfterFaults(ConsensusSim* sim) {
   sim->EndFaults();
   const uint64_t before = sim->committed();
   for (int i = 0; i < kSettleTicks; ++i) {
@@ -84,7 +84,7 @@
   return false;
 }
 
-/// Operators at work: nodes are added, promoted and removed at random.
+/// Adds, promotes or removes a node at random, as operators do.
 void ChangeMembers(ConsensusSim* sim) {
   Membership next = sim->committed_membership();
   const std::vector<uint64_t> ids = sim->Ids();
@@ -112,8 +112,8 @@
   sim->Change(next);
 }
 
-/// Loses the disk of one voter after another; each time a node with a new id
-/// takes its place before the next is lost.
+/// Loses the disk of one voter after another. A node with a new id replaces
+/// each before the next disk is lost.
 class DiskLosses {
  public:
   explicit DiskLosses(ConsensusSim* sim) : sim_(*sim) {}
@@ -145,7 +145,7 @@
   uint64_t repaired() const { return repaired_; }
 
  private:
-  // Only when the last repair is known to every voter.
+  // Only once every voter has the membership of the last repair.
   void MaybeLose() {
     const auto& voters = sim_.committed_membership().voters_;
     for (const auto& [id, address] : voters) {
@@ -186,9 +186,10 @@
     ConsensusSim sim(options);
     DiskLosses losses(&sim);
     for (int i = 0; i < (lose_disks ? 2 : 1) * kScheduleTicks; ++i) {
-      // A repair needs a quorum of what is left for a while.
+      // Fewer faults: a repair needs a quorum of the remaining voters for a
+      // while.
       if (!lose_disks || sim.Chance(200)) {
-        Disturb(&sim);
+        InjectFault(&sim);
       }
       if (change_members) {
         ChangeMembers(&sim);
@@ -199,7 +200,7 @@
       Load(&sim);
       sim.Tick();
     }
-    const bool settles = Settles(&sim);
+    const bool settles = SettlesAfterFaults(&sim);
     sim.CheckLogs();
     INFO(Describe(sim, seed));
     REQUIRE(sim.faults().empty());
@@ -212,7 +213,7 @@
   INFO("committed " << totals->committed_ << ", reads " << totals->reads_
                     << ", snapshots " << totals->snapshots_ << ", repaired "
                     << totals->repaired_);
-  // The schedules must have reached what they are for.
+  // The schedules must have exercised commits, reads, snapshots and repairs.
   CHECK(totals->committed_ > 20 * kSchedules);
   CHECK(totals->reads_ > 2 * kSchedules);
   CHECK(totals->snapshots_ > kSchedules / 2);
--- a/tests/unit-consensus.cc
+++ b/tests/unit-consensus.cc
@@ -11,7 +11,7 @@
 
 constexpr int kSettleTicks = 300;
 
-ConsensusSim CalmSim(size_t voters) {
+ConsensusSim FaultFreeSim(size_t voters) {
   ConsensusSim::Options options;
   options.voters_ = voters;
   options.drop_ = 0;
@@ -39,7 +39,7 @@
   return sim->Leader();
 }
 
-/// Any numbers, but near enough to the node's that it looks at them.
+/// Random fields, close enough to the node's state that it processes them.
 Message RandomMessage(const RaftNode& node, ConsensusSim* random) {
   const auto small = [&] { return random->Random(6); };
   Message message;
@@ -72,7 +72,7 @@
 }  // namespace
 
 TEST_CASE("leader that is cut off") {
-  ConsensusSim sim = CalmSim(3);
+  ConsensusSim sim = FaultFreeSim(3);
   const uint64_t old = Elect(&sim);
   sim.Propose();
   sim.Run(10);
@@ -82,8 +82,8 @@
   sim.Propose();
   sim.Read();
 
-  SECTION("commits and reads nothing, and loses lease and lead") {
-    // 70 ms of lease on a clock that may run 4% slow, in ticks of 5 ms.
+  SECTION("commits and reads nothing, and loses lease and leadership") {
+    // The lease is 70 ms on a clock that may run 4% slow; a tick is 5 ms.
     sim.Run(16);
     CHECK_FALSE(sim.HasLease(old));
     CHECK(sim.At(old)->role() != Role::kLeader);
@@ -108,13 +108,14 @@
 }
 
 TEST_CASE("voter that restarts") {
-  // It forgets whom it heard, but not that there may be a leader with a lease.
+  // A restart loses the time of the last leader contact. The voter must still
+  // not vote while a leader may have a lease that counts on it.
   for (int ticks = 1; ticks < 40; ++ticks) {
-    ConsensusSim sim = CalmSim(3);
+    ConsensusSim sim = FaultFreeSim(3);
     const uint64_t leader = Elect(&sim);
-    const uint64_t apart = leader % 3 + 1;
-    const uint64_t voter = apart % 3 + 1;
-    sim.CutLink(leader, apart);
+    const uint64_t isolated = leader % 3 + 1;
+    const uint64_t voter = isolated % 3 + 1;
+    sim.CutLink(leader, isolated);
     sim.Run(ticks);
     for (int i = 0; i < 40; ++i) {
       sim.Crash(voter);
@@ -128,21 +129,22 @@
   }
 }
 
-TEST_CASE("handover of the lead") {
-  ConsensusSim sim = CalmSim(3);
+TEST_CASE("leadership transfer") {
+  ConsensusSim sim = FaultFreeSim(3);
   const uint64_t old = Elect(&sim);
-  const uint64_t heir = old % 3 + 1;
-  sim.At(old)->TransferLeadership(TimePoint(Duration(sim.now_us())), heir);
+  const uint64_t transfer_target = old % 3 + 1;
+  sim.At(old)->TransferLeadership(TimePoint(Duration(sim.now_us())),
+                                  transfer_target);
   CHECK_FALSE(sim.HasLease(old));
   // Far below an election timeout.
   sim.Run(12);
-  CHECK(sim.Leader() == heir);
-  CHECK(sim.HasLease(heir));
+  CHECK(sim.Leader() == transfer_target);
+  CHECK(sim.HasLease(transfer_target));
   CHECK(sim.faults().empty());
 }
 
-TEST_CASE("membership steps") {
-  ConsensusSim sim = CalmSim(3);
+TEST_CASE("membership changes") {
+  ConsensusSim sim = FaultFreeSim(3);
   const uint64_t leader = Elect(&sim);
   Membership next = sim.committed_membership();
 
@@ -164,13 +166,13 @@
     next.learners_[leader % 3 + 1] = "node";
     CHECK_FALSE(sim.Change(next));
   }
-  SECTION("wait until the one before is applied") {
+  SECTION("wait until the previous one is applied") {
     next.learners_[sim.AddNode()] = "node";
     REQUIRE(sim.Change(next));
     next.learners_[sim.AddNode()] = "node";
     CHECK_FALSE(sim.Change(next));
   }
-  SECTION("promote only a learner that is caught up") {
+  SECTION("promote only a learner that has caught up") {
     const uint64_t id = sim.AddNode();
     sim.Part({id});
     next.learners_[id] = "node";
@@ -194,8 +196,8 @@
   CHECK(sim.faults().empty());
 }
 
-TEST_CASE("messages that no peer would send") {
-  // The numbers make no sense; the node must keep its log and itself in order.
+TEST_CASE("messages with random contents") {
+  // The node must neither crash nor corrupt its log on senseless messages.
   constexpr int kNodes = 300;
   constexpr int kMessages = 300;
   for (int seed = 1; seed <= kNodes; ++seed) {
@@ -227,7 +229,7 @@
   }
 }
 
-TEST_CASE("append that is not in order") {
+TEST_CASE("append with entries out of order") {
   RaftOptions options;
   options.id_ = 1;
   Snapshot initial{1, 1, {}, ""};
@@ -256,7 +258,7 @@
 }
 
 TEST_CASE("new term") {
-  SECTION("is on disk before anybody hears of it") {
+  SECTION("is on disk before a message carries it") {
     RaftOptions options;
     options.id_ = 1;
     Snapshot initial{1, 1, {}, ""};
@@ -265,7 +267,7 @@
     const TimePoint start(std::chrono::seconds(1));
     RaftNode node(options, HardState{1, 0}, initial, {}, start,
                   [](uint64_t) { return uint64_t{0}; });
-    // The only voter needs nobody's vote: it leads at once.
+    // The only voter needs no other vote: it becomes leader at once.
     node.Tick(start + options.election_timeout_);
     CHECK(node.role() == Role::kLeader);
     const Ready ready = node.TakeReady();
@@ -277,7 +279,7 @@
 }
 
 TEST_CASE("lost disk under its old id") {
-  ConsensusSim sim = CalmSim(3);
+  ConsensusSim sim = FaultFreeSim(3);
   const uint64_t leader = Elect(&sim);
   const uint64_t lost = leader % 3 + 1;
   const uint64_t other = lost % 3 + 1;
