--- a/include/citronlane/state/configuration_history.h
+++ b/include/citronlane/state/configuration_history.h
@@ -14,25 +14,29 @@
 
 namespace citronlane {
 
-/// The configuration and how it came about. Versions only rise, by one for
-/// each committed change; of changes on the same base version the first
-/// committed wins. Pure. Not thread safe.
+/// The configuration and the history of its changes. The version rises by one
+/// with each committed change; of the changes on the same base version the
+/// first committed wins. Deterministic and without I/O. Not thread safe.
 class ConfigurationHistory {
  public:
   ConfigurationHistory();
 
-  /// Applies a committed change. `time_ms` is cluster time.
+  /// Applies a committed change at log position `index`. `time_ms` is cluster
+  /// time in milliseconds. A change id that was applied before gets its first
+  /// result and changes nothing.
   wire::ConfigResult Apply(uint64_t index,
                            uint64_t time_ms,
                            const wire::ConfigChange& change);
 
-  /// Returns the result of a change that needs no commit: one whose id is
-  /// known, or that can't win any more. Nothing when it has to be proposed.
+  /// Returns the result of a change that needs no commit: its id is known, its
+  /// base version is not the current one, or the version to roll back to is not
+  /// in the history. Returns nullopt when it has to be proposed.
   std::optional<wire::ConfigResult> ResultOf(
       const wire::ConfigChange& change) const;
 
-  /// Returns the whole document that the change leads to from the present
-  /// version, for validation. Nothing and a reason when it can't be read.
+  /// Returns the full document that results from applying the change to the
+  /// current version, for validation. Returns nullopt and sets `error` when the
+  /// change is malformed.
   std::optional<std::string> Preview(const wire::ConfigChange& change,
                                      Error* error) const;
 
@@ -49,17 +53,18 @@
   const wire::ConfigRecord* Find(uint64_t version) const;
 
   /// Returns the document of a version, rebuilt from the backward patches, or
-  /// nothing when it is not in the history.
+  /// nullopt when it is not in the history.
   std::optional<std::string> DocumentAt(uint64_t version) const;
 
-  /// Returns the merge patch from a version to the present one, or nothing when
+  /// Returns the merge patch from a version to the current one, or nullopt when
   /// that version is not in the history.
   std::optional<std::string> PatchFrom(uint64_t version) const;
 
-  size_t remembered_change_ids() const { return change_ids_.size(); }
+  size_t change_id_count() const { return change_ids_.size(); }
 
   void Save(wire::ConfigSnapshot* snapshot) const;
-  /// Replaces everything. False and a reason when the document can't be read.
+  /// Replaces the complete state. Returns false, sets `error` and changes
+  /// nothing when the document is not valid.
   bool Load(const wire::ConfigSnapshot& snapshot, Error* error);
 
  private:
@@ -70,9 +75,9 @@
   wire::ConfigResult Commit(uint64_t index,
                             const wire::ConfigChange& change,
                             JsonValue target);
-  void Remember(uint64_t time_ms,
-                const wire::ConfigChange& change,
-                const wire::ConfigResult& result);
+  void RecordChangeId(uint64_t time_ms,
+                      const wire::ConfigChange& change,
+                      const wire::ConfigResult& result);
   void ExpireChangeIds(uint64_t time_ms);
 
   uint64_t version_ = 0;
@@ -81,7 +86,7 @@
   JsonValue root_;
   std::deque<wire::ConfigRecord> history_;
   std::map<std::string, wire::ChangeIdRecord> change_ids_;
-  /// Change ids in the order they were remembered.
+  /// Change ids in the order in which they were recorded.
   std::deque<std::string> change_id_order_;
 };
 
--- a/include/citronlane/state/drained_domains.h
+++ b/include/citronlane/state/drained_domains.h
@@ -7,34 +7,39 @@
 
 namespace citronlane {
 
-/// Replicated state: failure domains whose backend servers take no new work
-/// until an operator takes that back. Pure and deterministic. Not thread safe.
+/// Replicated set of drained failure domains: their backend servers get no new
+/// work until an operator ends the drain. Deterministic and without I/O. Not
+/// thread safe.
 class DrainedDomains {
  public:
   using Names = std::set<std::string, std::less<>>;
 
-  /// Whether a name can be held: letters, digits, ".", "_" and "-", 64 at most.
+  /// Whether `name` is a valid domain name: 1 to 64 letters, digits, ".", "_"
+  /// and "-".
   static bool IsName(std::string_view name);
-  /// Command that drains a domain, or ends that. Precondition: IsName(domain).
+  /// Returns the command that drains a domain or ends its drain. Precondition:
+  /// IsName(domain).
   static std::string Command(std::string_view domain, bool is_drained);
-  /// Whether a command is one of these.
+  /// Whether `command` has the form that Command returns.
   static bool IsCommand(std::string_view command);
 
-  /// Applies a committed command. Returns whether it changed anything. One more
-  /// domain than kMost changes nothing.
+  /// Applies a committed command. Returns whether it changed anything; a
+  /// malformed command and a domain beyond the maximum change nothing.
   bool Apply(std::string_view command);
 
-  /// Whether the domain can be drained: it is, or there is room.
-  bool HasRoomFor(std::string_view domain) const;
+  /// Whether the domain can be drained: it is already, or fewer than the
+  /// maximum are.
+  bool HasCapacityFor(std::string_view domain) const;
   const Names& names() const { return names_; }
 
-  /// The whole state on one line, and back.
+  /// Returns the complete state on one line.
   std::string Snapshot() const;
+  /// Replaces the state by one that Snapshot returned.
   void Restore(std::string_view snapshot);
 
  private:
-  /// Far above the failure domains of a fleet; bounds the state.
-  static constexpr size_t kMost = 64;
+  /// Bounds the state; far above the number of failure domains of a fleet.
+  static constexpr size_t kMaxDomains = 64;
 
   Names names_;
 };
--- a/include/citronlane/state/fleet_state.h
+++ b/include/citronlane/state/fleet_state.h
@@ -9,18 +9,20 @@
 
 namespace citronlane {
 
-/// All that the control VMs of the users' platform replicate. Pure and
-/// deterministic. Not thread safe.
+/// The complete replicated state of the control VMs in platform mode: the
+/// configuration and the drained failure domains. Deterministic and without
+/// I/O. Not thread safe.
 class FleetState {
  public:
-  /// What a command changed.
+  /// The component that a command changed.
   enum class Change { kNothing, kConfig, kDrainedDomains };
 
-  /// Applies a committed command of either part.
+  /// Applies a committed command of either component. Returns what it changed.
   Change Apply(std::string_view command);
 
-  /// The whole state, and back.
+  /// Returns the complete state.
   std::string Snapshot() const;
+  /// Replaces the state by one that Snapshot returned.
   void Restore(std::string_view snapshot);
 
   const ConfigRegister& config() const { return config_; }
--- a/include/citronlane/state/gateway_registry.h
+++ b/include/citronlane/state/gateway_registry.h
@@ -9,16 +9,18 @@
 
 namespace citronlane {
 
-/// Gateways that may hold a configuration lease or a claim: one incarnation a
-/// name, and the highest one seen wins. Pure. Not thread safe.
+/// Gateways that may hold a configuration lease or a claim: one incarnation per
+/// name, where a higher incarnation replaces a lower one. Deterministic and
+/// without I/O. Not thread safe.
 class GatewayRegistry {
  public:
-  /// Registers a gateway. False when a later incarnation of the name is
-  /// registered. `replaced` gets the earlier incarnation, or 0.
+  /// Registers a gateway. Returns false when a later incarnation of the name is
+  /// registered. Sets `replaced` to the earlier incarnation that it replaces,
+  /// or to 0.
   bool Register(const wire::GatewayId& gateway, uint64_t* replaced);
 
-  /// Takes a gateway out. False when that incarnation is not registered.
-  bool Forget(const std::string& name, uint64_t incarnation);
+  /// Removes a gateway. Returns false when that incarnation is not registered.
+  bool Remove(const std::string& name, uint64_t incarnation);
 
   bool Contains(const std::string& name, uint64_t incarnation) const;
 
--- a/include/citronlane/state/refusal_journal.h
+++ b/include/citronlane/state/refusal_journal.h
@@ -10,18 +10,21 @@
 
 namespace citronlane {
 
-/// The newest refusals by id, one record each however often it is sent. What
-/// is dropped is counted. Pure. Not thread safe.
+/// The newest refusals, one record per id however often it is sent. Dropped
+/// records are counted. Deterministic and without I/O. Not thread safe.
 class RefusalJournal {
  public:
-  /// Takes a batch and keeps at most its `max_refusals` records in all.
+  /// Adds the refusals of a report, then drops the oldest records beyond the
+  /// report's `max_refusals`.
   void Add(const wire::ReportCommand& report);
 
-  /// Returns the record, or null when it is not here.
+  /// Returns the record, or null when there is none with this id.
   const wire::RefusalRecord* Find(const std::string& id) const;
 
   size_t size() const { return order_.size(); }
+  /// Refusals that gateways dropped before they could be reported.
   uint64_t dropped_by_gateways() const { return dropped_by_gateways_; }
+  /// Refusals that this journal dropped.
   uint64_t dropped_here() const { return dropped_here_; }
 
   void Save(wire::RefusalSnapshot* snapshot) const;
--- a/include/citronlane/state/spend_ledger.h
+++ b/include/citronlane/state/spend_ledger.h
@@ -11,25 +11,27 @@
 
 namespace citronlane {
 
-/// What the whole fleet spent per class and hour, and the shares leased to
-/// gateways. Spent amounts and valid shares together never pass the class's
-/// limit for the hour, as long as no gateway spends beyond its share. Amounts
-/// in micro-units. Pure. Not thread safe.
+/// The fleet's spend per class and hour, and the shares of the limit leased to
+/// gateways. The spent amount and the valid shares together never exceed the
+/// class's limit for the hour, as long as no gateway spends more than its
+/// share. Amounts are in micro-units. Deterministic and without I/O. Not thread
+/// safe.
 class SpendLedger {
  public:
-  /// Books a gateway's report and leases it the next shares. A resend (same
-  /// incarnation and sequence) books nothing and gets the same shares.
+  /// Adds a gateway's reported spend and leases it its next shares. A resend
+  /// (see IsResend) adds nothing and gets the last shares again.
   std::vector<wire::SpendShare> Report(uint64_t time_ms,
                                        const wire::ReportCommand& report);
 
-  /// Whether the report, or a later one of the incarnation, is booked.
+  /// Whether this report or a later one of the same incarnation was processed.
   bool IsResend(const wire::ReportCommand& report) const;
 
-  /// Spent in the present hour, for reports.
+  /// Returns the amount of the class spent in the hour of its last report.
   uint64_t Spent(const std::string& class_name) const;
 
-  /// The gateway is gone: its shares end with their lease.
-  void OnGatewayForgotten(const std::string& name);
+  /// Drops the report mark of a gateway that left the registry; its shares
+  /// expire with their lease.
+  void OnGatewayRemoved(const std::string& name);
 
   void Save(wire::SpendSnapshot* snapshot) const;
   void Load(const wire::SpendSnapshot& snapshot);
@@ -48,7 +50,9 @@
     std::map<Owner, Share> shares_;
   };
 
-  static void Roll(uint64_t time_ms, Ledger* ledger);
+  /// Starts the hour of `time_ms` if it is a new one, and drops the shares that
+  /// have expired by then.
+  static void AdvanceTo(uint64_t time_ms, Ledger* ledger);
   static uint64_t Available(const Ledger& ledger,
                             const Owner& owner,
                             uint64_t limit);
@@ -57,7 +61,7 @@
                          const wire::ClassLimit& limit);
 
   std::map<std::string, Ledger> classes_;
-  /// Last report of each gateway, by name.
+  /// Last report of each gateway by name, with the shares it was leased.
   std::map<std::string, wire::ReportMark> marks_;
 };
 
--- a/include/citronlane/state/state_effects.h
+++ b/include/citronlane/state/state_effects.h
@@ -8,14 +8,15 @@
 
 namespace citronlane {
 
-/// What one command changed that others are told of.
+/// Changes made by one command that gateways or other components are notified
+/// of.
 struct StateEffects {
   bool config_changed_ = false;
   /// Backend servers whose state changed.
-  std::vector<std::string> servers_;
+  std::vector<std::string> changed_servers_;
   /// Gateways, by name and incarnation, that entered or left the registry.
-  std::vector<std::pair<std::string, uint64_t>> registered_;
-  std::vector<std::pair<std::string, uint64_t>> forgotten_;
+  std::vector<std::pair<std::string, uint64_t>> registered_gateways_;
+  std::vector<std::pair<std::string, uint64_t>> removed_gateways_;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/state/state_machine.h
+++ b/include/citronlane/state/state_machine.h
@@ -20,34 +20,36 @@
 
 namespace citronlane {
 
-/// The replicated state: commands in log order in, results out. The same
-/// commands give the same results and the same snapshot bytes on every node;
-/// time comes inside the commands. Pure. Not thread safe.
+/// The replicated state machine of the control VMs: applies commands in log
+/// order. The same commands give the same results and the same snapshot bytes
+/// on every node, so it reads no clock and does no I/O; time comes inside the
+/// commands. Not thread safe.
 class StateMachine {
  public:
   StateMachine();
   StateMachine(const StateMachine&) = delete;
   StateMachine& operator=(const StateMachine&) = delete;
 
-  /// Applies a committed command and returns its result. A command that can't
-  /// be read has no effect.
+  /// Applies the committed command at `index` and returns its result. A command
+  /// that can not be parsed has no effect but counts in history_hash().
   wire::StateResult Apply(uint64_t index, std::string_view payload);
 
-  /// What the last Apply changed.
+  /// Changes made by the last Apply.
   const StateEffects& effects() const { return effects_; }
 
-  /// Returns the whole state: a SealedSnapshot in its one possible encoding.
+  /// Returns the complete state as an encoded SealedSnapshot; equal states have
+  /// equal bytes.
   std::string TakeSnapshot() const;
 
-  /// Replaces the whole state. False and a reason, and nothing changed, when
-  /// the bytes are damaged.
+  /// Replaces the complete state. Returns false, sets `error` and changes
+  /// nothing when `data` is damaged.
   bool InstallSnapshot(std::string_view data, Error* error);
 
   /// Cluster time of the newest command, in milliseconds.
   uint64_t time_ms() const { return time_ms_; }
   uint64_t applied_index() const { return applied_index_; }
-  /// Hash over every command and result so far; nodes that agree on the index
-  /// and not on this have diverged.
+  /// Hash over all commands and results so far. Nodes with the same applied
+  /// index and different hashes have diverged.
   uint64_t history_hash() const { return history_hash_; }
 
   const ConfigurationHistory& config() const { return config_; }
@@ -66,7 +68,7 @@
   wire::ConfigResult ApplyChange(uint64_t index,
                                  const wire::ConfigChange& change);
   bool RegisterGateway(const wire::RegisterGateway& command);
-  bool ForgetGateway(const wire::ForgetGateway& command);
+  bool RemoveGateway(const wire::ForgetGateway& command);
   bool MergeServers(const wire::ServerCommand& command);
   void Load(const wire::StateSnapshot& snapshot);
 
--- a/include/citronlane/state/unapplied_log.h
+++ b/include/citronlane/state/unapplied_log.h
@@ -8,30 +8,31 @@
 
 namespace citronlane {
 
-/// What a voter has in its log beyond what it has applied, as far as lease
-/// renewals depend on it: configuration changes and gateways on their way out
-/// of the registry. Pure. Not thread safe.
+/// The commands in a voter's log that it has not applied yet and that lease
+/// renewals depend on: configuration changes, and commands that remove gateways
+/// from the registry. Without I/O. Not thread safe.
 class UnappliedLog {
  public:
-  /// A command entered the log, committed or not.
+  /// Records a command that was appended to the log, committed or not.
   void OnAppended(uint64_t index, std::string_view payload);
-  /// Entries from `index` on left the log.
+  /// Removes the entries from `index` on, which the log truncated.
   void OnTruncated(uint64_t index);
-  /// Everything up to `index` is applied.
+  /// Removes the entries up to `index`, which are applied.
   void OnApplied(uint64_t index);
 
-  /// Returns the newest version in the log, given the applied one. May be too
-  /// high while a change that will lose is not applied; never too low.
+  /// Returns the newest configuration version in the log, given the applied
+  /// one. It may be too high while a change that will be rejected is not
+  /// applied; it is never too low.
   uint64_t NewestVersion(uint64_t applied_version) const;
 
-  /// Whether the log takes this incarnation out of the registry.
-  bool Forgets(std::string_view gateway, uint64_t incarnation) const;
+  /// Whether a command in the log removes this incarnation from the registry.
+  bool RemovesGateway(std::string_view gateway, uint64_t incarnation) const;
 
  private:
   struct Item {
-    /// Version a change leads to; 0 for other commands.
+    /// Version that a configuration change results in; 0 for other commands.
     uint64_t version_ = 0;
-    /// Gateway whose incarnations up to `incarnation_` go.
+    /// Gateway whose incarnations up to `incarnation_` are removed.
     std::string gateway_;
     uint64_t incarnation_ = 0;
   };
--- a/src/control/control_state.cc
+++ b/src/control/control_state.cc
@@ -92,7 +92,7 @@
   const wire::GatewayId& gateway = request.gateway();
   const bool registered =
       state_.gateways().Contains(gateway.name(), gateway.incarnation()) &&
-      !unapplied_.Forgets(gateway.name(), gateway.incarnation());
+      !unapplied_.RemovesGateway(gateway.name(), gateway.incarnation());
   wire::LeaseReply reply;
   reply.set_node(status.id_);
   reply.set_voter(registered && !is_broken_ && !status.failed_ &&
@@ -142,11 +142,11 @@
 
 void ControlState::Tell(const StateEffects& effects) {
   const TimePoint now = SteadyNow();
-  for (const auto& [name, incarnation] : effects.registered_) {
+  for (const auto& [name, incarnation] : effects.registered_gateways_) {
     tracker_.OnRegistered(name, incarnation);
     SeeRegistered(name, incarnation, now);
   }
-  for (const auto& [name, incarnation] : effects.forgotten_) {
+  for (const auto& [name, incarnation] : effects.removed_gateways_) {
     tracker_.OnForgotten(name, incarnation, now);
     const auto sighting = sightings_.find(name);
     if (sighting != sightings_.end() &&
@@ -165,10 +165,10 @@
     update.set_base_version(record.version() - 1);
     update.set_patch(record.forward_patch());
   }
-  for (const std::string& server : effects.servers_) {
+  for (const std::string& server : effects.changed_servers_) {
     AddServer(server, &update);
   }
-  if (effects.config_changed_ || !effects.servers_.empty()) {
+  if (effects.config_changed_ || !effects.changed_servers_.empty()) {
     feed_.Publish(update);
   }
 }
--- a/src/control/operator_api.cc
+++ b/src/control/operator_api.cc
@@ -197,7 +197,7 @@
   if (!DrainedDomains::IsName(domain)) {
     return ErrorReply(kBadRequest, "this can't be a failure domain's name");
   }
-  if (!state_->drained().HasRoomFor(domain)) {
+  if (!state_->drained().HasCapacityFor(domain)) {
     return ErrorReply(kBadRequest, "too many failure domains are drained");
   }
   const auto wait = std::make_shared<Wait>(exchange);
--- a/src/state/claim_table.cc
+++ b/src/state/claim_table.cc
@@ -5,9 +5,9 @@
 namespace citronlane {
 namespace {
 
-/// Most claims forgotten by one command, so that no command takes long.
+/// Maximum claims removed by one command, so that no command takes long.
 constexpr size_t kMaxExpiredAtOnce = 64;
-/// Released calls remembered for one key.
+/// Maximum released calls kept for one key.
 constexpr int kMaxReleased = 16;
 
 template <typename Command>
@@ -48,7 +48,7 @@
   return reply;
 }
 
-// No other try of the same claim gets another answer.
+// A definite refusal: every retry of the same claim gets it too.
 wire::ClaimReply Refusal() {
   wire::ClaimReply reply = Reply(wire::ClaimReply::UNAVAILABLE);
   reply.set_definite(true);
@@ -123,7 +123,7 @@
   } else {
     record.set_answer_dropped(true);
   }
-  Disown(key, record);
+  RemoveFromOwner(key, record);
   SetExpiry(key, &record, time_ms + command.retention_ms());
   return true;
 }
@@ -150,11 +150,11 @@
     wire::ClaimRecord& record = claims_.at(key);
     if (record.phase() == wire::ClaimRecord::RUNNING &&
         registered_(record.gateway(), record.incarnation())) {
-      SetExpiry(key, &record, 0);  // The owner came back.
+      SetExpiry(key, &record, 0);  // The owner is registered again.
       continue;
     }
     if (record.phase() == wire::ClaimRecord::RUNNING) {
-      Disown(key, record);
+      RemoveFromOwner(key, record);
     }
     answer_bytes_ -= record.answer().size();
     SetExpiry(key, &record, 0);
@@ -196,8 +196,8 @@
 bool ClaimTable::Release(uint64_t time_ms,
                          const wire::FinishCommand& command,
                          const Key& key) {
-  // A release may overtake its claim: it is remembered even when there is
-  // nothing to release, so that the claim is not granted to nobody later.
+  // A release may overtake its claim. It is recorded even when there is nothing
+  // to release, so that the late claim is not granted to a call that has ended.
   const bool is_new = claims_.count(key) == 0;
   wire::ClaimRecord& record = claims_[key];
   const bool owned =
@@ -212,7 +212,7 @@
     record.set_key(command.key());
   }
   if (owned && !is_new) {
-    Disown(key, record);
+    RemoveFromOwner(key, record);
   }
   if (owned || is_new || record.phase() == wire::ClaimRecord::RELEASED) {
     record.set_phase(wire::ClaimRecord::RELEASED);
@@ -221,7 +221,8 @@
   return true;
 }
 
-void ClaimTable::Disown(const Key& key, const wire::ClaimRecord& record) {
+void ClaimTable::RemoveFromOwner(const Key& key,
+                                 const wire::ClaimRecord& record) {
   const auto owned = running_.find({record.gateway(), record.incarnation()});
   if (owned == running_.end()) {
     return;
--- a/src/state/config_proposer.cc
+++ b/src/state/config_proposer.cc
@@ -13,7 +13,7 @@
     : config_(config), hooks_(std::move(hooks)) {}
 
 void ConfigProposer::Submit(uint64_t version, std::string document, Done done) {
-  callers_.push_back({version, std::move(done)});
+  waiters_.push_back({version, std::move(done)});
   const bool is_replaced = (proposed_ && proposed_->version_ >= version) ||
                            (next_ && next_->version_ >= version);
   if (!is_replaced) {
@@ -40,7 +40,7 @@
   std::optional<std::string> command;
   if (may_be_difference && !config_->is_empty() &&
       hooks_.all_apply_differences_()) {
-    // Without a difference the whole document does as well.
+    // Falls back to the full document when there is no difference command.
     Error ignored;
     command = config_->DifferenceCommand(proposed_->version_, proposed_->text_,
                                          &ignored);
@@ -56,7 +56,8 @@
 
 void ConfigProposer::Proposed(bool is_committed, const std::string& reason) {
   if (is_committed && !config_->Holds(proposed_->version_)) {
-    // What an earlier leader had in the log changed the base.
+    // An entry of an earlier leader changed the base, so the difference did not
+    // apply.
     Propose(false);
     return;
   }
@@ -69,15 +70,15 @@
 void ConfigProposer::Finish(uint64_t version,
                             bool is_committed,
                             const std::string& reason) {
-  // Calls may submit again.
+  // The callbacks may submit again, so the waiters are removed first.
   const auto waiting = std::partition(
-      callers_.begin(), callers_.end(),
-      [version](const Caller& caller) { return caller.version_ > version; });
-  const std::vector<Caller> ended(std::make_move_iterator(waiting),
-                                  std::make_move_iterator(callers_.end()));
-  callers_.erase(waiting, callers_.end());
-  for (const Caller& caller : ended) {
-    caller.done_(is_committed, reason);
+      waiters_.begin(), waiters_.end(),
+      [version](const Waiter& waiter) { return waiter.version_ > version; });
+  const std::vector<Waiter> ended(std::make_move_iterator(waiting),
+                                  std::make_move_iterator(waiters_.end()));
+  waiters_.erase(waiting, waiters_.end());
+  for (const Waiter& waiter : ended) {
+    waiter.done_(is_committed, reason);
   }
 }
 
--- a/src/state/config_register.cc
+++ b/src/state/config_register.cc
@@ -9,10 +9,11 @@
 namespace {
 
 constexpr char kSeparator = '\n';
-/// Begins a difference; other commands begin with a digit.
-constexpr char kDifference = '+';
+/// First byte of a difference command; other commands begin with a digit.
+constexpr char kDifferencePrefix = '+';
 
-/// Takes a decimal number and the character that ends it off the front.
+/// Removes a decimal number and the character `end` after it from the front of
+/// `text` and returns the number.
 std::optional<uint64_t> TakeNumber(std::string_view* text, char end) {
   const size_t length = text->find(end);
   if (length == std::string_view::npos) {
@@ -30,7 +31,7 @@
 
 }  // namespace
 
-// The version in decimal, a line end, the document.
+// Format: the version in decimal, a line feed, the document.
 std::string ConfigRegister::Command(uint64_t version,
                                     std::string_view document) {
   std::string command = std::to_string(version);
@@ -39,8 +40,8 @@
   return command;
 }
 
-// A plus sign, the version and its base in decimal, each before a line end, and
-// the difference.
+// Format: a plus sign, the version and its base version in decimal, each
+// followed by a line feed, and the encoded difference.
 std::optional<std::string> ConfigRegister::DifferenceCommand(
     uint64_t version,
     std::string_view document,
@@ -49,34 +50,34 @@
   if (!difference) {
     return std::nullopt;
   }
-  std::string command(1, kDifference);
+  std::string command(1, kDifferencePrefix);
   command += std::to_string(version) + kSeparator;
   command += std::to_string(version_) + kSeparator;
   return command + *difference;
 }
 
 bool ConfigRegister::Apply(std::string_view command) {
-  if (!command.empty() && command.front() == kDifference) {
-    return ApplyDifference(command.substr(1));
+  if (!command.empty() && command.front() == kDifferencePrefix) {
+    return StoreDifference(command.substr(1));
   }
   const auto version = TakeNumber(&command, kSeparator);
-  return version && Keep(*version, std::string(command));
+  return version && StoreIfNewer(*version, std::string(command));
 }
 
-bool ConfigRegister::ApplyDifference(std::string_view command) {
+bool ConfigRegister::StoreDifference(std::string_view command) {
   const auto version = TakeNumber(&command, kSeparator);
   const auto base = TakeNumber(&command, kSeparator);
   if (!version || !base || is_empty_ || *base != version_) {
     return false;
   }
-  // The checksum in the data makes a wrong result impossible; on every VM the
-  // same command meets the same base.
+  // The checksum in the encoded difference excludes a wrong result, and every
+  // VM applies the command to the same base.
   Error ignored;
   auto document = DecodeDocument(command, document_, &ignored);
-  return document && Keep(*version, std::move(*document));
+  return document && StoreIfNewer(*version, std::move(*document));
 }
 
-bool ConfigRegister::Keep(uint64_t version, std::string document) {
+bool ConfigRegister::StoreIfNewer(uint64_t version, std::string document) {
   if (Holds(version)) {
     return false;
   }
--- a/src/state/configuration_history.cc
+++ b/src/state/configuration_history.cc
@@ -10,8 +10,8 @@
 namespace citronlane {
 namespace {
 
-/// Change ids remembered at once; beyond, changes are refused rather than ids
-/// forgotten early.
+/// Maximum change ids kept at once. Changes beyond it are refused, since a
+/// resend of a change whose id was removed early would be applied again.
 constexpr size_t kMaxChangeIds = 100000;
 
 std::optional<JsonValue> ParseObject(std::string_view text, Error* error) {
@@ -23,7 +23,7 @@
     return std::nullopt;
   }
   if (!value->IsObject()) {
-    error->message_ = "The document is not an object.";
+    error->message_ = "The document is not a JSON object.";
     return std::nullopt;
   }
   return value;
@@ -59,7 +59,7 @@
     result = target ? Commit(index, change, *std::move(target))
                     : Failure(wire::ConfigResult::INVALID, version_);
   }
-  Remember(time_ms, change, *result);
+  RecordChangeId(time_ms, change, *result);
   return *result;
 }
 
@@ -167,19 +167,19 @@
     }
     return value;
   }
-  const bool whole = !change.document().empty();
+  const bool is_document = !change.document().empty();
   std::optional<JsonValue> sent =
-      ParseObject(whole ? change.document() : change.patch(), error);
+      ParseObject(is_document ? change.document() : change.patch(), error);
   if (!sent) {
     return std::nullopt;
   }
-  if (!whole) {
+  if (!is_document) {
     JsonValue patched = root_;
     ApplyMergePatch(*sent, &patched);
     return SortMembers(patched);
   }
   if (HasNullMember(*sent)) {
-    error->message_ = "A whole document has no null members.";
+    error->message_ = "A full document can not have null members.";
     return std::nullopt;
   }
   return SortMembers(*sent);
@@ -243,9 +243,9 @@
   return result;
 }
 
-void ConfigurationHistory::Remember(uint64_t time_ms,
-                                    const wire::ConfigChange& change,
-                                    const wire::ConfigResult& result) {
+void ConfigurationHistory::RecordChangeId(uint64_t time_ms,
+                                          const wire::ConfigChange& change,
+                                          const wire::ConfigResult& result) {
   wire::ChangeIdRecord record;
   record.set_change_id(change.change_id());
   record.set_digest(change.digest());
--- a/src/state/drained_domains.cc
+++ b/src/state/drained_domains.cc
@@ -10,7 +10,7 @@
 namespace citronlane {
 namespace {
 
-constexpr size_t kLongestName = 64;
+constexpr size_t kMaxDomainNameLength = 64;
 constexpr std::string_view kDrain = "!drain ";
 constexpr std::string_view kUndrain = "!undrain ";
 
@@ -26,7 +26,7 @@
 }  // namespace
 
 bool DrainedDomains::IsName(std::string_view name) {
-  return !name.empty() && name.size() <= kLongestName &&
+  return !name.empty() && name.size() <= kMaxDomainNameLength &&
          std::all_of(name.begin(), name.end(), IsNameCharacter);
 }
 
@@ -45,14 +45,14 @@
   }
   command.remove_prefix(is_drained ? kDrain.size() : kUndrain.size());
   const std::string name(command);
-  if (!IsName(name) || !HasRoomFor(name)) {
+  if (!IsName(name) || !HasCapacityFor(name)) {
     return false;
   }
   return is_drained ? names_.insert(name).second : names_.erase(name) > 0;
 }
 
-bool DrainedDomains::HasRoomFor(std::string_view domain) const {
-  return names_.size() < kMost || names_.count(domain) > 0;
+bool DrainedDomains::HasCapacityFor(std::string_view domain) const {
+  return names_.size() < kMaxDomains || names_.count(domain) > 0;
 }
 
 std::string DrainedDomains::Snapshot() const {
--- a/src/state/fleet_state.cc
+++ b/src/state/fleet_state.cc
@@ -5,9 +5,10 @@
 namespace citronlane {
 namespace {
 
-/// Begins a snapshot with drained domains: they stand before the line's end.
-/// One without is the configuration's alone, which begins with a digit.
-constexpr char kWithDomains = '!';
+/// First byte of a snapshot with drained domains, which fill the rest of its
+/// first line. A snapshot without them is the configuration's alone, which
+/// begins with a digit.
+constexpr char kDrainedDomainsPrefix = '!';
 
 }  // namespace
 
@@ -22,12 +23,12 @@
   const std::string config = config_.Snapshot();
   return drained_.names().empty()
              ? config
-             : kWithDomains + drained_.Snapshot() + '\n' + config;
+             : kDrainedDomainsPrefix + drained_.Snapshot() + '\n' + config;
 }
 
 void FleetState::Restore(std::string_view snapshot) {
   std::string_view domains;
-  if (!snapshot.empty() && snapshot.front() == kWithDomains) {
+  if (!snapshot.empty() && snapshot.front() == kDrainedDomainsPrefix) {
     const size_t end = std::min(snapshot.find('\n'), snapshot.size() - 1);
     domains = snapshot.substr(1, end - 1);
     snapshot.remove_prefix(end + 1);
--- a/src/state/gateway_registry.cc
+++ b/src/state/gateway_registry.cc
@@ -16,7 +16,7 @@
   return true;
 }
 
-bool GatewayRegistry::Forget(const std::string& name, uint64_t incarnation) {
+bool GatewayRegistry::Remove(const std::string& name, uint64_t incarnation) {
   if (!Contains(name, incarnation)) {
     return false;
   }
--- a/src/state/spend_ledger.cc
+++ b/src/state/spend_ledger.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr uint64_t kHourMs = 3600ULL * 1000;
-/// Part of its fair share that a gateway gets at once, so that one that joins
-/// or speeds up finds something left.
+/// A gateway is leased this fraction (1 / kShareDivisor) of its fair share, so
+/// that some of the limit is left for one that joins or spends faster.
 constexpr uint64_t kShareDivisor = 2;
 
 }  // namespace
@@ -20,7 +20,7 @@
   if (!is_resend) {
     for (const wire::ClassSpend& spend : report.spend()) {
       Ledger& ledger = classes_[spend.class_name()];
-      Roll(time_ms, &ledger);
+      AdvanceTo(time_ms, &ledger);
       ledger.spent_ += spend.spent();
     }
     mark.set_gateway(report.gateway().name());
@@ -46,7 +46,7 @@
   return found == classes_.end() ? 0 : found->second.spent_;
 }
 
-void SpendLedger::OnGatewayForgotten(const std::string& name) {
+void SpendLedger::OnGatewayRemoved(const std::string& name) {
   marks_.erase(name);
 }
 
@@ -89,7 +89,7 @@
   }
 }
 
-void SpendLedger::Roll(uint64_t time_ms, Ledger* ledger) {
+void SpendLedger::AdvanceTo(uint64_t time_ms, Ledger* ledger) {
   const uint64_t hour = time_ms / kHourMs;
   if (hour != ledger->hour_) {
     ledger->spent_last_hour_ = hour == ledger->hour_ + 1 ? ledger->spent_ : 0;
@@ -118,7 +118,7 @@
                                     const wire::ReportCommand& report,
                                     const wire::ClassLimit& limit) {
   Ledger& ledger = classes_[limit.class_name()];
-  Roll(time_ms, &ledger);
+  AdvanceTo(time_ms, &ledger);
   const Owner owner(report.gateway().name(), report.gateway().incarnation());
   uint64_t rate = 0;
   for (const wire::ClassSpend& spend : report.spend()) {
@@ -132,8 +132,8 @@
       Available(ledger, owner, limit.limit_per_hour()) / kShareDivisor;
   Share& share = ledger.shares_[owner];
   share.rate_ = rate;
-  // In floating point the product could not overflow, but its rounding might
-  // differ between VMs.
+  // Integer arithmetic, dividing first against overflow: the rounding of
+  // floating point might differ between VMs.
   share.amount_ = available / all_rates * (rate + 1) +
                   available % all_rates * (rate + 1) / all_rates;
   share.expires_ms_ = time_ms + report.share_valid_ms();
--- a/src/state/state_machine.cc
+++ b/src/state/state_machine.cc
@@ -71,7 +71,7 @@
   if (!sealed.ParseFromArray(data.data(), static_cast<int>(data.size())) ||
       sealed.sha256() != Sha256(sealed.state()) ||
       !snapshot.ParseFromString(sealed.state())) {
-    error->message_ = "The snapshot does not have its digest.";
+    error->message_ = "The snapshot is damaged: its SHA-256 does not match.";
     return false;
   }
   if (!config_.Load(snapshot.config(), error)) {
@@ -99,7 +99,7 @@
       result.set_done(RegisterGateway(command.register_gateway()));
       break;
     case wire::StateCommand::kForgetGateway:
-      result.set_done(ForgetGateway(command.forget_gateway()));
+      result.set_done(RemoveGateway(command.forget_gateway()));
       break;
     case wire::StateCommand::kRegisterPeer:
       peers_[command.register_peer().peer().node()] =
@@ -152,34 +152,36 @@
   if (!gateways_.Register(gateway, &replaced)) {
     return false;
   }
-  effects_.registered_.emplace_back(gateway.name(), gateway.incarnation());
+  effects_.registered_gateways_.emplace_back(gateway.name(),
+                                             gateway.incarnation());
   if (replaced != 0) {
-    effects_.forgotten_.emplace_back(gateway.name(), replaced);
+    effects_.removed_gateways_.emplace_back(gateway.name(), replaced);
     claims_.OnOwnerLost(time_ms_, gateway.name(), replaced,
                         command.claim_retention_ms());
   }
   return true;
 }
 
-bool StateMachine::ForgetGateway(const wire::ForgetGateway& command) {
-  if (!gateways_.Forget(command.name(), command.incarnation())) {
+bool StateMachine::RemoveGateway(const wire::ForgetGateway& command) {
+  if (!gateways_.Remove(command.name(), command.incarnation())) {
     return false;
   }
   claims_.OnOwnerLost(time_ms_, command.name(), command.incarnation(),
                       command.claim_retention_ms());
-  spend_.OnGatewayForgotten(command.name());
-  effects_.forgotten_.emplace_back(command.name(), command.incarnation());
+  spend_.OnGatewayRemoved(command.name());
+  effects_.removed_gateways_.emplace_back(command.name(),
+                                          command.incarnation());
   return true;
 }
 
 bool StateMachine::MergeServers(const wire::ServerCommand& command) {
   for (const wire::ServerRecord& record : command.servers()) {
-    const ServerState seen{record.incarnation(), record.leaving()};
-    if (servers_.Merge(record.server(), seen)) {
-      effects_.servers_.push_back(record.server());
+    const ServerState reported{record.incarnation(), record.leaving()};
+    if (servers_.Merge(record.server(), reported)) {
+      effects_.changed_servers_.push_back(record.server());
     }
   }
-  return !effects_.servers_.empty();
+  return !effects_.changed_servers_.empty();
 }
 
 void StateMachine::Load(const wire::StateSnapshot& snapshot) {
--- a/src/state/unapplied_log.cc
+++ b/src/state/unapplied_log.cc
@@ -44,8 +44,8 @@
   return newest;
 }
 
-bool UnappliedLog::Forgets(std::string_view gateway,
-                           uint64_t incarnation) const {
+bool UnappliedLog::RemovesGateway(std::string_view gateway,
+                                  uint64_t incarnation) const {
   return std::any_of(items_.begin(), items_.end(), [&](const auto& entry) {
     return entry.second.gateway_ == gateway &&
            incarnation <= entry.second.incarnation_;
--- a/tests/unit-config-proposer.cc
+++ b/tests/unit-config-proposer.cc
@@ -17,7 +17,7 @@
 namespace citronlane {
 namespace {
 
-/// A replicated log that commits when the test says so.
+/// A replicated log that commits on the test's request.
 class Log {
  public:
   struct Entry {
@@ -41,12 +41,12 @@
     entry.done_(true, "");
   }
 
-  /// This VM loses the lead.
-  void Lose() { Take().done_(false, "lost"); }
+  /// Fails the oldest entry, as when this VM loses the leadership.
+  void LoseLeadership() { Take().done_(false, "lost"); }
 
   ConfigRegister config_;
   std::deque<Entry> entries_;
-  /// Versions whose calls ended, and whether they are committed.
+  /// Versions whose submissions ended, and whether they are committed.
   std::vector<std::pair<uint64_t, bool>> ended_;
   bool all_apply_differences_ = true;
 
@@ -70,7 +70,7 @@
   ConfigProposer proposer_;
 };
 
-/// Three control VMs with one log, of which one leads at a time.
+/// Three control VMs with one log and one leader at a time.
 class Cluster {
  public:
   Log& leader() { return members_[leader_]; }
@@ -80,7 +80,7 @@
     RC_ASSERT(leader().entries_.size() <= 1);
   }
 
-  /// Commits what the leader put in; it applies it, the others later.
+  /// Commits and applies the leader's oldest entry; the others apply it later.
   void Commit() {
     if (leader().entries_.empty()) {
       return;
@@ -92,8 +92,8 @@
     RC_ASSERT(Version(leader_) >= before);
   }
 
-  /// Another one leads. What the one before put in is committed all the same,
-  /// or lost.
+  /// Makes `member` the leader. The entry of the previous leader is committed
+  /// all the same, or lost.
   void Elect(size_t member, bool keeps_entry) {
     if (member == leader_) {
       return;
@@ -103,7 +103,7 @@
         committed_.push_back(leader().entries_.front().command_);
       }
       while (!leader().entries_.empty()) {
-        leader().Lose();
+        leader().LoseLeadership();
       }
     }
     leader_ = member;
@@ -122,7 +122,7 @@
     CatchUp(member, std::min(applied_[member] + 1, committed_.size()));
   }
 
-  void CheckAtRest() {
+  void CheckConvergence() {
     while (!leader().entries_.empty()) {
       Commit();
     }
@@ -166,9 +166,9 @@
 
 }  // namespace
 
-// Each change put its whole document into the log of every control VM, however
-// many came at once.
-TEST_CASE("a change costs the log what it changes") {
+// Guards against a log that grows by a full document with each change, however
+// little it changes and however many changes arrive at once.
+TEST_CASE("the log grows only by what a change changes") {
   Log log;
   log.Submit(1, RouteDocument(1, kRoutes));
   REQUIRE(log.entries_.size() == 1);
@@ -176,7 +176,7 @@
   CHECK(log.ended_ == Ended{{1, true}});
   log.ended_.clear();
 
-  SECTION("a small one in a large document") {
+  SECTION("a small change in a large document") {
     log.Submit(2, RouteDocument(2, kRoutes));
     REQUIRE(log.entries_.size() == 1);
     CHECK(log.entries_.front().command_.size() < 1024);
@@ -184,7 +184,7 @@
     CHECK(log.config_.document() == RouteDocument(2, kRoutes));
     CHECK(log.ended_ == Ended{{2, true}});
   }
-  SECTION("of several that wait the highest goes, and answers for all") {
+  SECTION("the highest of several waiting versions is proposed for all") {
     for (const uint64_t version : {5, 9, 7, 3}) {
       log.Submit(version, RouteDocument(version, kRoutes));
     }
@@ -200,14 +200,14 @@
       CHECK(is_committed);
     }
   }
-  SECTION("whole while a member of the log may not apply differences") {
+  SECTION("a full document while a member can not apply differences") {
     log.all_apply_differences_ = false;
     log.Submit(2, RouteDocument(2, kRoutes));
     REQUIRE(log.entries_.size() == 1);
     CHECK(log.entries_.front().command_ ==
           ConfigRegister::Command(2, RouteDocument(2, kRoutes)));
   }
-  SECTION("whole once what an earlier leader left changed the base") {
+  SECTION("a full document once an earlier leader's entry changed the base") {
     log.Submit(5, RouteDocument(5, kRoutes));
     log.config_.Apply(ConfigRegister::Command(4, "earlier"));
     log.Commit();
@@ -225,8 +225,8 @@
   log.Submit(4, "four");
   log.Submit(6, "six");
 
-  SECTION("fails the calls that it stands for, and no others") {
-    log.Lose();
+  SECTION("fails the submissions up to its version, and no others") {
+    log.LoseLeadership();
     CHECK(log.ended_.size() == 2);
     for (const auto& [version, is_committed] : log.ended_) {
       CHECK(version <= 5);
@@ -237,8 +237,8 @@
     CHECK(log.ended_.back() == std::pair<uint64_t, bool>(6, true));
   }
   SECTION("can be sent again") {
-    log.Lose();
-    log.Lose();
+    log.LoseLeadership();
+    log.LoseLeadership();
     CHECK(log.ended_.size() == 3);
     log.Submit(5, "five");
     log.Commit();
@@ -247,8 +247,8 @@
   }
 }
 
-TEST_CASE("acknowledged versions stay, whoever leads") {
-  CHECK(rc::check("versions never fall, and all end with the same", [] {
+TEST_CASE("acknowledged versions survive a change of leader") {
+  CHECK(rc::check("versions never decrease and all members converge", [] {
     Cluster cluster;
     const auto steps = *rc::gen::inRange(1, 60);
     size_t submitted = 0;
@@ -273,7 +273,7 @@
           cluster.Elect(member, *rc::gen::arbitrary<bool>());
       }
     }
-    cluster.CheckAtRest();
+    cluster.CheckConvergence();
     RC_ASSERT(cluster.calls() == submitted);
   }));
 }
--- a/tests/unit-fleet-state.cc
+++ b/tests/unit-fleet-state.cc
@@ -20,7 +20,7 @@
   CHECK(drained.Apply(DrainedDomains::Command("north-a", true)));
   CHECK(drained.names() == Names{"north-a"});
 
-  SECTION("an order that comes twice changes nothing more") {
+  SECTION("a repeated command changes nothing") {
     CHECK_FALSE(drained.Apply(DrainedDomains::Command("north-a", true)));
     CHECK(drained.Apply(DrainedDomains::Command("north-a", false)));
     CHECK_FALSE(drained.Apply(DrainedDomains::Command("north-a", false)));
@@ -39,14 +39,14 @@
   SECTION("the state is bounded") {
     for (int i = 1; i < 64; ++i) {
       const std::string name = "d" + std::to_string(i);
-      CHECK(drained.HasRoomFor(name));
+      CHECK(drained.HasCapacityFor(name));
       CHECK(drained.Apply(DrainedDomains::Command(name, true)));
     }
-    CHECK_FALSE(drained.HasRoomFor("more"));
+    CHECK_FALSE(drained.HasCapacityFor("more"));
     CHECK_FALSE(drained.Apply(DrainedDomains::Command("more", true)));
-    CHECK(drained.HasRoomFor("north-a"));
+    CHECK(drained.HasCapacityFor("north-a"));
     CHECK(drained.Apply(DrainedDomains::Command("north-a", false)));
-    CHECK(drained.HasRoomFor("more"));
+    CHECK(drained.HasCapacityFor("more"));
   }
 }
 
@@ -64,7 +64,7 @@
     CHECK(copy.config().document() == "seven\nlines");
     CHECK(copy.drained().names().empty());
   }
-  SECTION("a snapshot brings both parts back") {
+  SECTION("a snapshot restores both components") {
     CHECK(state.Apply(DrainedDomains::Command("north-b", true)) ==
           Change::kDrainedDomains);
     CHECK(state.Apply(DrainedDomains::Command("north-a", true)) ==
--- a/tests/unit-state.cc
+++ b/tests/unit-state.cc
@@ -20,7 +20,7 @@
 using Claimed = wire::ClaimReply;
 using Outcome = wire::ConfigResult;
 
-// Drives a state machine the way a leader does.
+// Applies commands to a state machine as a leader does.
 struct Driver {
   StateMachine state_;
   StateLimits limits_;
@@ -35,13 +35,13 @@
   }
   Outcome Change(uint64_t base,
                  const std::string& id,
-                 const std::string& who,
+                 const std::string& operator_name,
                  const std::string& patch) {
     wire::StateCommand command;
     wire::ConfigChange* change = command.mutable_change();
     change->set_base_version(base);
     change->set_change_id(id);
-    change->set_operator_name(who);
+    change->set_operator_name(operator_name);
     change->set_patch(patch);
     change->set_digest(Sha256Hex(patch));
     change->set_history_versions(limits_.history_versions_);
@@ -66,7 +66,7 @@
         limits_.claim_retention_ms_);
     return Run(command).done();
   }
-  void Forget(const std::string& name, uint64_t incarnation) {
+  void RemoveGateway(const std::string& name, uint64_t incarnation) {
     wire::StateCommand command;
     command.mutable_forget_gateway()->set_name(name);
     command.mutable_forget_gateway()->set_incarnation(incarnation);
@@ -90,12 +90,12 @@
     claim->set_max_claims(limits_.max_claims_);
     return Run(command).claim();
   }
-  bool End(const std::string& gateway,
-           uint64_t incarnation,
-           uint64_t id,
-           bool release,
-           const std::string& answer = "answer",
-           const std::string& key = "k") {
+  bool Finish(const std::string& gateway,
+              uint64_t incarnation,
+              uint64_t id,
+              bool release,
+              const std::string& answer = "answer",
+              const std::string& key = "k") {
     wire::StateCommand command;
     wire::FinishCommand* finish = command.mutable_finish();
     finish->mutable_gateway()->set_name(gateway);
@@ -145,7 +145,7 @@
   REQUIRE(driver.Change(0, "c1", "ana", R"({"a":1,"b":{"x":1}})").version() ==
           1);
 
-  SECTION("of 50 operators with one base version one wins") {
+  SECTION("of 50 changes on one base version one wins") {
     int winners = 0;
     int conflicts = 0;
     for (int i = 0; i < 50; ++i) {
@@ -172,7 +172,7 @@
     CHECK(again.SerializeAsString() == first.SerializeAsString());
     CHECK(again.version() == 2);
     CHECK(driver.state_.config().version() == 3);
-    SECTION("also one that lost") {
+    SECTION("also a change that lost") {
       const Outcome lost = driver.Change(1, "c4", "eve", R"({"a":9})");
       REQUIRE(lost.winner_change_id() == "c2");
       driver.Change(3, "c5", "ana", R"({"a":5})");
@@ -183,7 +183,7 @@
       CHECK(driver.Change(3, "c2", "ana", R"({"a":7})").outcome() ==
             Outcome::CHANGE_ID_REUSED);
     }
-    SECTION("for the stated window, and not for less") {
+    SECTION("for exactly the change id window") {
       driver.time_ms_ += driver.limits_.change_id_window_ms_ - 1;
       CHECK(driver.Change(1, "c2", "ana", R"({"a":2})").version() == 2);
       driver.time_ms_ += 1;
@@ -191,7 +191,7 @@
             Outcome::CONFLICT);
     }
   }
-  SECTION("a change that can't be read or has a future base has no effect") {
+  SECTION("a malformed change or one with a future base has no effect") {
     CHECK(driver.Change(1, "x1", "ana", "{").outcome() == Outcome::INVALID);
     CHECK(driver.Change(1, "x2", "ana", "[]").outcome() == Outcome::INVALID);
     CHECK(driver.Change(9, "x3", "ana", "{}").outcome() ==
@@ -221,7 +221,7 @@
 }
 
 TEST_CASE("merge patches") {
-  SECTION("lead from any document to any other") {
+  SECTION("turn any document into any other") {
     setenv("RC_PARAMS", "seed=4242 max_success=300", 1);
     const auto random_value = [](auto& self, int depth) -> JsonValue {
       const int kind = *rc::gen::inRange(0, depth > 0 ? 5 : 3);
@@ -277,18 +277,18 @@
     CHECK(driver.Claim("g1", 2, 1, "k3").result() == Claimed::UNAVAILABLE);
   }
   SECTION("finished gives the stored answer to all") {
-    CHECK_FALSE(driver.End("g2", 1, 1, false));
-    CHECK_FALSE(driver.End("g1", 1, 2, false));
-    REQUIRE(driver.End("g1", 1, 1, false));
-    CHECK(driver.End("g1", 1, 1, false));
+    CHECK_FALSE(driver.Finish("g2", 1, 1, false));
+    CHECK_FALSE(driver.Finish("g1", 1, 2, false));
+    REQUIRE(driver.Finish("g1", 1, 1, false));
+    CHECK(driver.Finish("g1", 1, 1, false));
     const Claimed stored = driver.Claim("g2", 1, 9);
     CHECK(stored.result() == Claimed::FINISHED);
     CHECK(stored.answer() == "answer");
-    CHECK_FALSE(driver.End("g1", 1, 1, true));
+    CHECK_FALSE(driver.Finish("g1", 1, 1, true));
     CHECK(driver.Claim("g1", 1, 1).result() == Claimed::FINISHED);
   }
-  SECTION("a finished key is forgotten only after its retention") {
-    driver.End("g1", 1, 1, false);
+  SECTION("a finished key is removed only after its retention") {
+    driver.Finish("g1", 1, 1, false);
     driver.time_ms_ += driver.limits_.claim_retention_ms_ - 1;
     CHECK(driver.Claim("g2", 1, 9).result() == Claimed::FINISHED);
     driver.time_ms_ += 1;
@@ -296,30 +296,30 @@
     CHECK(driver.state_.claims().answer_bytes() == 0);
   }
   SECTION("release, only by the owner, frees the key") {
-    REQUIRE(driver.End("g2", 1, 1, true));  // Says nothing of g1's claim.
+    REQUIRE(driver.Finish("g2", 1, 1, true));  // Does not affect g1's claim.
     CHECK(driver.Claim("g2", 1, 5).result() == Claimed::RUNNING);
-    REQUIRE(driver.End("g1", 1, 1, true));
+    REQUIRE(driver.Finish("g1", 1, 1, true));
     SECTION("a late duplicate of the released call gets nothing") {
       CHECK(driver.Claim("g1", 1, 1).result() == Claimed::UNAVAILABLE);
       CHECK(driver.Claim("g2", 1, 6).result() == Claimed::GRANTED);
     }
     SECTION("a late duplicate of the release frees no later claim") {
       REQUIRE(driver.Claim("g1", 1, 2).result() == Claimed::GRANTED);
-      CHECK(driver.End("g1", 1, 1, true));
+      CHECK(driver.Finish("g1", 1, 1, true));
       CHECK(driver.Claim("g2", 1, 6).result() == Claimed::RUNNING);
     }
     SECTION("a release that overtakes its claim holds") {
-      CHECK(driver.End("g1", 1, 7, true, "", "k7"));
+      CHECK(driver.Finish("g1", 1, 7, true, "", "k7"));
       CHECK(driver.Claim("g1", 1, 7, "k7").result() == Claimed::UNAVAILABLE);
       CHECK(driver.Claim("g1", 1, 8, "k7").result() == Claimed::GRANTED);
     }
   }
-  SECTION("with its owner gone a key is never granted again") {
+  SECTION("a key whose owner is lost is not granted during its retention") {
     SECTION("owner restarted") {
       REQUIRE(driver.Register("g1", 2));
     }
-    SECTION("owner forgotten") {
-      driver.Forget("g1", 1);
+    SECTION("owner removed") {
+      driver.RemoveGateway("g1", 1);
     }
     CHECK(driver.Claim("g2", 1, 9).result() == Claimed::OWNER_LOST);
     driver.time_ms_ += driver.limits_.claim_retention_ms_ - 1;
@@ -328,12 +328,12 @@
     CHECK(driver.Claim("g2", 1, 9).result() == Claimed::GRANTED);
   }
   SECTION("an owner that comes back may finish") {
-    driver.Forget("g1", 1);
+    driver.RemoveGateway("g1", 1);
     REQUIRE(driver.Claim("g2", 1, 9).result() == Claimed::OWNER_LOST);
     REQUIRE(driver.Register("g1", 1));
     driver.time_ms_ += driver.limits_.claim_retention_ms_;
     CHECK(driver.Claim("g2", 1, 9).result() == Claimed::RUNNING);
-    CHECK(driver.End("g1", 1, 1, false));
+    CHECK(driver.Finish("g1", 1, 1, false));
     CHECK(driver.Claim("g2", 1, 9).result() == Claimed::FINISHED);
   }
   SECTION("an earlier incarnation can't come back") {
@@ -342,14 +342,14 @@
   }
   SECTION("an answer over the limits is dropped, its key kept") {
     driver.limits_.answer_bytes_ = 8;
-    REQUIRE(driver.End("g1", 1, 1, false, "nine bytes"));
+    REQUIRE(driver.Finish("g1", 1, 1, false, "nine bytes"));
     CHECK(driver.Claim("g2", 1, 9).answer_dropped());
     driver.limits_.total_answer_bytes_ = 4;
     driver.Claim("g2", 1, 10, "k2");
-    REQUIRE(driver.End("g2", 1, 10, false, "12345", "k2"));
+    REQUIRE(driver.Finish("g2", 1, 10, false, "12345", "k2"));
     CHECK(driver.Claim("g1", 1, 11, "k2").answer_dropped());
   }
-  SECTION("a full table refuses and forgets nothing") {
+  SECTION("a full table refuses new claims and removes none") {
     driver.limits_.max_claims_ = 1;
     CHECK(driver.Claim("g2", 1, 9, "k2").result() == Claimed::UNAVAILABLE);
     CHECK(driver.Claim("g2", 1, 9).result() == Claimed::RUNNING);
@@ -380,19 +380,19 @@
     CHECK(driver.state_.spend().Spent("chat") == spent);
     CHECK(spent > 9000);
   }
-  SECTION("a resent report books once and gets the same shares") {
+  SECTION("a resent report counts once and gets the same shares") {
     const auto first = driver.Report("g", 1, 100);
     const auto again = driver.Report("g", 1, 100);
     CHECK(driver.state_.spend().Spent("chat") == 100);
     CHECK(again.at(0).amount() == first.at(0).amount());
   }
-  SECTION("the next hour begins anew") {
+  SECTION("the spend starts at zero in the next hour") {
     driver.Report("g", 1, 100);
     driver.time_ms_ += 3600000;
     driver.Report("g", 2, 1);
     CHECK(driver.state_.spend().Spent("chat") == 1);
   }
-  SECTION("the journal keeps one record an id, and counts what it drops") {
+  SECTION("the journal keeps one record per id and counts dropped ones") {
     driver.Report("g", 1, 0, 3);
     driver.Report("g", 2, 0, 3);
     CHECK(driver.state_.refusals().size() == 4);
@@ -423,13 +423,14 @@
           driver.Register(gateway, 1 + below(3));
           break;
         case 2:
-          driver.Forget(gateway, 1 + below(3));
+          driver.RemoveGateway(gateway, 1 + below(3));
           break;
         case 3:
           driver.Claim(gateway, 1 + below(3), below(4), key);
           break;
         case 4:
-          driver.End(gateway, 1 + below(3), below(4), below(2) == 0, "a", key);
+          driver.Finish(gateway, 1 + below(3), below(4), below(2) == 0, "a",
+                        key);
           break;
         case 5:
           driver.Report(gateway, i, below(50), 1);
@@ -448,7 +449,7 @@
     }
   };
 
-  SECTION("and a tail equal a replay, byte for byte") {
+  SECTION("and the log after them give the bytes of a full replay") {
     for (uint32_t seed = 1; seed <= 60; ++seed) {
       INFO("seed " << seed);
       std::mt19937 random(seed);
@@ -493,7 +494,7 @@
       REQUIRE(other.config().version() == 0);
     }
   }
-  SECTION("hold whatever bytes come as commands") {
+  SECTION("can be restored after malformed commands") {
     google::protobuf::SetLogHandler(nullptr);
     std::mt19937 random(99);
     random_run(&random, 300);
@@ -510,7 +511,7 @@
     REQUIRE(restored.InstallSnapshot(snapshot, &error));
     CHECK(restored.TakeSnapshot() == snapshot);
   }
-  SECTION("a command that can't be read has no effect") {
+  SECTION("a command that can not be parsed has no effect") {
     CHECK_FALSE(driver.state_.Apply(1, "\xff\xff").done());
   }
 }
@@ -525,29 +526,29 @@
   log.OnAppended(10, change.SerializeAsString());
   log.OnAppended(11, forget.SerializeAsString());
 
-  SECTION("counts what is not committed yet") {
+  SECTION("counts commands that are not committed yet") {
     CHECK(log.NewestVersion(6) == 7);
-    CHECK(log.Forgets("g", 4));
-    CHECK_FALSE(log.Forgets("g", 5));
-    CHECK_FALSE(log.Forgets("h", 4));
+    CHECK(log.RemovesGateway("g", 4));
+    CHECK_FALSE(log.RemovesGateway("g", 5));
+    CHECK_FALSE(log.RemovesGateway("h", 4));
   }
-  SECTION("drops what is truncated") {
+  SECTION("drops truncated entries") {
     log.OnTruncated(10);
     CHECK(log.NewestVersion(6) == 6);
-    CHECK_FALSE(log.Forgets("g", 4));
+    CHECK_FALSE(log.RemovesGateway("g", 4));
   }
-  SECTION("drops what is applied") {
+  SECTION("drops applied entries") {
     log.OnApplied(10);
     CHECK(log.NewestVersion(6) == 6);
-    CHECK(log.Forgets("g", 4));
+    CHECK(log.RemovesGateway("g", 4));
   }
-  SECTION("a later incarnation takes the earlier out") {
+  SECTION("a registration removes earlier incarnations") {
     wire::StateCommand command;
     command.mutable_register_gateway()->mutable_gateway()->set_name("h");
     command.mutable_register_gateway()->mutable_gateway()->set_incarnation(3);
     log.OnAppended(12, command.SerializeAsString());
-    CHECK(log.Forgets("h", 2));
-    CHECK_FALSE(log.Forgets("h", 3));
+    CHECK(log.RemovesGateway("h", 2));
+    CHECK_FALSE(log.RemovesGateway("h", 3));
   }
 }
 
