--- a/include/citronlane/control/cluster_member.h
+++ b/include/citronlane/control/cluster_member.h
@@ -33,19 +33,22 @@
 class Frame;
 }  // namespace wire::fleet
 
-/// This VM's part in the cluster of control VMs: finds out who it is, forms the
-/// cluster with the other first seeds or joins it, survives a disk that fails
-/// for a while, and mends the membership while it leads. On the event loop's
-/// thread.
+/// This VM's membership in the cluster of control VMs: reads its identity from
+/// disk, forms the cluster with the other first seeds or joins a running one,
+/// reopens a disk that fails for a while, and repairs the membership while it
+/// leads. It does not serve gateways or operators. All calls and hooks run on
+/// the event loop's thread.
 class ClusterMember {
  public:
   struct Hooks {
-    /// Leads and has applied all that was committed before; or no longer.
+    /// This VM became the leader and has applied everything committed before,
+    /// or it is the leader no longer.
     std::function<void(bool leads)> leads_changed_;
+    /// A command or snapshot changed the replicated state.
     std::function<void()> state_changed_;
   };
 
-  /// `io`, `state` and `log` outlive the object.
+  /// `io`, `state` and `log` must outlive this object.
   ClusterMember(boost::asio::io_context* io,
                 const NodeSettings& settings,
                 FleetState* state,
@@ -55,31 +58,40 @@
   ClusterMember(const ClusterMember&) = delete;
   ClusterMember& operator=(const ClusterMember&) = delete;
 
-  /// The settings file names other seeds.
+  /// Replaces the seeds after a reload of the settings file; an empty list is
+  /// ignored.
   void SetSeeds(std::vector<std::string> seeds);
 
-  /// Takes a frame of another control VM; false when it is none of theirs.
-  bool Take(const std::shared_ptr<FrameChannel>& channel,
-            wire::fleet::Frame* frame,
-            TimePoint now);
-  /// Call every 50 ms.
+  /// Handles a frame of another control VM. Returns false when the frame is of
+  /// another kind. `channel` is where a reply goes; it may be null for Raft
+  /// messages.
+  bool HandleFrame(const std::shared_ptr<FrameChannel>& channel,
+                   wire::fleet::Frame* frame,
+                   TimePoint now);
+  /// Opens the disk, forms or joins the cluster and advances consensus. Call at
+  /// least every half heartbeat interval (40 ms).
   void Tick(TimePoint now);
 
+  /// Appends a command to the log; see ReplicaDriver::Propose.
   void Propose(std::string command, Replica::ProposeDone done);
+  /// Starts a linearizable read; see ReplicaDriver::Read.
   void Read(Replica::ReadDone done);
-  void HandOver();
+  /// Transfers the leadership to another voter if this VM has it.
+  void TransferLeadership();
 
-  /// Leads, and a quorum said so just now.
+  /// Whether this VM is the leader, has applied everything committed before its
+  /// term, and holds the leader lease.
   bool Leads(TimePoint now) const;
   /// Term of the replicated log; 0 outside of a cluster.
   uint64_t term() const;
   /// Internal endpoint of the leader; empty when not known.
   std::string leader() const;
-  /// Internal endpoints of the members; the seeds while there are none.
+  /// Internal endpoints of the voters; the seeds while there are none.
   std::vector<std::string> members() const;
+  /// Whether there are as many voters as the tolerated losses need.
   bool has_all_voters() const;
-  /// Whether every other member has said that it applies commands of this
-  /// version's form, beyond whole configurations.
+  /// Whether every other member has reported a log format that supports the
+  /// commands of this version beyond full configurations.
   bool all_apply_new_commands() const;
 
  private:
@@ -90,18 +102,18 @@
 
   void StartForming();
   void TickForming(TimePoint now);
-  void TakeGreeting(const wire::fleet::Frame& frame, TimePoint now);
-  void AnswerGreeting(FrameChannel* channel, uint64_t round) const;
+  void HandleGreeting(const wire::fleet::Frame& frame, TimePoint now);
+  void ReplyToGreeting(FrameChannel* channel, uint64_t round) const;
 
   void StartJoining();
-  void AskToJoin(TimePoint now);
-  void AnswerJoin(FrameChannel* channel, const wire::fleet::Frame& frame);
-  void TakeJoinReply(const wire::fleet::Frame& frame, TimePoint now);
+  void RequestToJoin(TimePoint now);
+  void ReplyToJoin(FrameChannel* channel, const wire::fleet::Frame& frame);
+  void HandleJoinReply(const wire::fleet::Frame& frame, TimePoint now);
   void LeaveCluster(TimePoint now);
 
-  void TickLeading(TimePoint now);
+  void MaintainMembership(TimePoint now);
   void RoleChanged(Role role, uint64_t term);
-  void ConfirmLead(uint64_t term);
+  void ConfirmLeadership(uint64_t term);
   void SetLeads(bool leads);
   void SendMessage(Message message);
   FrameLink* LinkTo(const std::string& endpoint);
@@ -122,11 +134,11 @@
   TimePoint reopen_at_;
   bool disk_failed_ = false;
 
-  /// While the first seeds form the cluster: addresses by id.
+  /// Addresses of the first seeds by id, while they form the cluster.
   std::map<uint64_t, std::string> founders_;
   std::unique_ptr<ClusterFormation> formation_;
   uint64_t round_ = 0;
-  TimePoint next_ask_;
+  TimePoint next_request_at_;
 
   bool is_joining_ = false;
   uint64_t nonce_ = 0;
@@ -136,9 +148,10 @@
 
   bool leads_ = false;
   std::map<std::string, std::unique_ptr<FrameLink>> links_;
-  /// Where messages of nodes that the membership does not name yet came from.
+  /// Channel on which each node's last message arrived. Replies to nodes that
+  /// the membership does not name yet go there.
   std::map<uint64_t, std::weak_ptr<FrameChannel>> channels_;
-  /// By node, as its last message said.
+  /// Log format reported by each node's last message.
   std::map<uint64_t, uint32_t> log_formats_;
 };
 
--- a/include/citronlane/control/control_host.h
+++ b/include/citronlane/control/control_host.h
@@ -15,15 +15,16 @@
 struct Dialect;
 
 /// A control VM of a self-forming fleet: forms the cluster with the other first
-/// seeds or joins one, keeps its copy of the log, and, while it leads, answers
-/// operators, keeps the membership whole and feeds the gateways. One thread:
-/// the VM has a part of one core, and a stalled disk must stall the leader too.
+/// seeds or joins one, keeps its copy of the log, and, while it leads, serves
+/// operators, maintains the membership and feeds the gateways. Runs on one
+/// thread: the VM has a fraction of one core, and a stalled disk must stall the
+/// leader too, so that it loses the leadership.
 class ControlHost {
  public:
-  /// Reads the settings file anew; nothing when it can't be read now.
+  /// Reads the settings file again; nullopt when it can not be read now.
   using SettingsHook = std::function<std::optional<NodeSettings>()>;
 
-  /// `dialect` and `log` outlive the host.
+  /// `dialect` and `log` must outlive the host.
   ControlHost(NodeSettings settings,
               SettingsHook read_settings,
               const Dialect* dialect,
@@ -32,8 +33,9 @@
   ControlHost(const ControlHost&) = delete;
   ControlHost& operator=(const ControlHost&) = delete;
 
-  /// Serves until a stop signal came and the lead is handed over. False with
-  /// the reason when it could not start.
+  /// Serves until a stop signal arrived and there was time to transfer the
+  /// leadership. Returns false and sets `error` when it could not start. Blocks
+  /// the calling thread.
   bool Run(Error* error);
 
  private:
--- a/include/citronlane/control/control_node.h
+++ b/include/citronlane/control/control_node.h
@@ -12,9 +12,10 @@
 
 namespace citronlane {
 
-/// One control VM: a Replica, the state machine on it, the service for
-/// gateways and the administration API. Thread safe, but Start and Stop, which
-/// one thread calls.
+/// One control VM of a cluster with configured peers: a Replica, the replicated
+/// state machine, the service for gateways and the administration API. It
+/// serves no requests of clients. Thread safe, except that Start and Stop are
+/// called by one thread.
 class ControlNode {
  public:
   ControlNode(ControlOptions options, ControlNodeHooks hooks);
@@ -23,14 +24,14 @@
   ControlNode& operator=(const ControlNode&) = delete;
 
   /// Reads the disk, binds the addresses and starts the threads. Returns false
-  /// and a reason when the disk can't be trusted or an address is taken.
+  /// and sets `error` when the disk can not be trusted or an address is taken.
   bool Start(Error* error);
 
-  /// Hands over the lead, answers what waits, ends the threads. May be called
-  /// twice.
+  /// Transfers the leadership, completes the pending calls and ends the
+  /// threads. May be called twice.
   void Stop();
 
-  /// Version and digest of the configuration applied here.
+  /// Version and SHA-256 digest of the configuration applied here.
   uint64_t config_version() const;
   std::string config_digest() const;
   ReplicaStatus replica_status() const;
--- a/include/citronlane/control/control_node_hooks.h
+++ b/include/citronlane/control/control_node_hooks.h
@@ -8,14 +8,14 @@
 
 namespace citronlane {
 
-/// What a control node needs from the rest of the process. Every hook may be
-/// called from any of its threads at once, and may be missing.
+/// Hooks that a control node calls. Each may be called from several of the
+/// node's threads at once, and may be empty.
 struct ControlNodeHooks {
-  /// Takes one log line without its end.
+  /// Receives one log line without its line feed.
   std::function<void(std::string_view)> log_;
-  /// Returns the process's own text for /metrics, put before the node's.
+  /// Returns the process's own metrics, placed before the node's in /metrics.
   std::function<std::string()> metrics_text_;
-  /// Milliseconds since 1970; the system clock when missing.
+  /// Returns milliseconds since 1970; the system clock is used when empty.
   std::function<uint64_t()> unix_ms_;
 };
 
--- a/include/citronlane/control/control_options.h
+++ b/include/citronlane/control/control_options.h
@@ -16,36 +16,37 @@
 
 namespace citronlane {
 
-/// Settings of a control process, already checked.
+/// Validated settings of a control process.
 struct ControlOptions {
-  /// Its `raft_.id_` names this node; `listen_` and `initial_voters_` are
-  /// filled from `peers_` by ControlNode when they are empty.
+  /// `raft_.id_` is this node's id. ControlNode fills `listen_` and
+  /// `initial_voters_` from `peers_` when they are empty.
   ReplicaOptions replica_;
-  /// Every control VM by node id, this one with it. VMs added later become
+  /// Every control VM by node id, including this one. VMs added later become
   /// known through the replicated state.
   std::map<uint64_t, ControlPeer> peers_;
-  /// This VM joins a running cluster as a learner: it starts without voters.
+  /// Whether this VM joins a running cluster as a learner instead of forming
+  /// one with `peers_`.
   bool join_ = false;
-  /// Operators of the administration API; without any it answers only
-  /// /healthz and /metrics.
+  /// Operators of the administration API. Without any it serves only /healthz
+  /// and /metrics.
   std::vector<OperatorKey> operators_;
   StateLimits limits_;
-  /// How long a gateway may serve on an unconfirmed configuration. The same on
-  /// gateways and control VMs.
+  /// How long a gateway may serve on an unconfirmed configuration. Must be the
+  /// same on gateways and control VMs.
   Duration config_lease_ = std::chrono::seconds(3);
-  /// A gateway silent for longer is taken out of the registry; its running
-  /// claims count as lost.
+  /// A gateway without a lease renewal for longer is removed from the registry;
+  /// its running claims count as lost.
   Duration gateway_timeout_ = std::chrono::seconds(15);
-  /// "IP:port" of the platform's VM list; empty polls nothing.
+  /// "IP:port" of the platform's VM list; empty disables polling.
   std::string platform_;
   Duration platform_interval_ = std::chrono::milliseconds(500);
-  /// Orders to engines a second over the whole fleet that read from the weight
-  /// store, and how many of them at once.
+  /// Rate limit, over the fleet, for engine orders that read from the weight
+  /// store: orders per second, and the burst allowed at once.
   double weight_store_rate_ = 1.0;
   uint32_t weight_store_burst_ = 2;
-  /// Time a share of spend is valid.
+  /// How long a leased share of a spend limit is valid.
   Duration spend_lease_ = std::chrono::seconds(5);
-  /// Watch streams and waiting calls served at once.
+  /// Maximum watch streams and pending calls served at once.
   size_t max_watchers_ = 1024;
   size_t max_pending_calls_ = 8192;
   TlsFiles internal_tls_;
--- a/include/citronlane/control/control_peer.h
+++ b/include/citronlane/control/control_peer.h
@@ -5,13 +5,13 @@
 
 namespace citronlane {
 
-/// Where the other processes reach one control VM, each as "IP:port".
+/// Addresses of one control VM, each as "IP:port".
 struct ControlPeer {
-  /// Between control VMs.
+  /// Replication service, for the other control VMs.
   std::string replication_;
-  /// For gateways.
+  /// Control service, for gateways.
   std::string control_;
-  /// For operators.
+  /// Administration API, for operators.
   std::string admin_;
 };
 
--- a/include/citronlane/control/control_run.h
+++ b/include/citronlane/control/control_run.h
@@ -7,10 +7,10 @@
 
 namespace citronlane {
 
-/// Runs a control process until SIGTERM or SIGINT. Returns false and a reason
-/// when it can't start, or when its replica gives up: the disk failed, or the
-/// cluster knows this node with another disk. Call once, from the main thread,
-/// before other threads are started: it blocks both signals.
+/// Runs a control process until SIGTERM or SIGINT. Returns false and sets
+/// `error` when it can not start, or when its replica fails: its disk failed,
+/// or the membership records another disk for this node's id. Call once, from
+/// the main thread, before other threads are started: it blocks both signals.
 bool RunControl(const ControlOptions& options,
                 ControlNodeHooks hooks,
                 Error* error);
--- a/include/citronlane/control/detail/admin_context.h
+++ b/include/citronlane/control/detail/admin_context.h
@@ -13,8 +13,8 @@
 
 namespace citronlane {
 
-/// What the calls of the administration API work on. The pointers must outlive
-/// the API; the hooks are thread safe.
+/// Dependencies of the administration API's calls. The pointers must outlive
+/// the API; the hooks must be thread safe.
 struct AdminContext {
   const ControlOptions* options_ = nullptr;
   ControlState* state_ = nullptr;
@@ -25,9 +25,9 @@
   std::function<void(uint64_t, Replica::ProposeDone)> promote_;
   std::function<void(uint64_t, Replica::ProposeDone)> remove_;
   std::function<uint64_t()> fencing_number_;
-  /// Milliseconds since 1970.
+  /// Returns milliseconds since 1970.
   std::function<uint64_t()> unix_ms_;
-  /// Text put before the node's own metrics.
+  /// Returns the text placed before the node's own metrics.
   std::function<std::string()> metrics_text_;
 };
 
--- a/include/citronlane/control/detail/admin_replies.h
+++ b/include/citronlane/control/detail/admin_replies.h
@@ -29,29 +29,29 @@
   kUnavailable = 503,
 };
 
-/// Returns a number as JSON. Thread safe, as all of these.
+/// Returns a number as JSON. Thread safe, as are all functions here.
 JsonValue JsonNumber(uint64_t number);
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 AdminResponse JsonReply(const JsonValue& body);
 
-/// Returns an error as application/problem+json. `members` is an object whose
-/// members go with it.
+/// Returns an error as application/problem+json. The members of the object
+/// `members` are added to the body.
 AdminResponse ProblemReply(AdminStatus status,
                            std::string_view detail,
                            const JsonValue& members = JsonValue::Object());
 
-/// Returns the answer to a call that found no leader or no quorum.
+/// Returns the response to a call that found no leader or no quorum.
 AdminResponse UnavailableReply(std::string_view detail);
 
-/// Returns faults as a JSON array.
+/// Returns validation errors as a JSON array.
 JsonValue FaultList(const std::vector<Fault>& faults);
 
-/// Returns the answer to a call whose body has faults.
+/// Returns the response to a call whose body has validation errors.
 AdminResponse BadBody(const std::vector<Fault>& faults);
 
-/// Returns a member of a query such as "version=7", or nothing when it is
-/// absent or no whole number.
+/// Returns a parameter of a query such as "version=7", or nullopt when it is
+/// absent or not a non-negative integer.
 std::optional<uint64_t> QueryNumber(std::string_view query,
                                     std::string_view name);
 
--- a/include/citronlane/control/detail/command_proposer.h
+++ b/include/citronlane/control/detail/command_proposer.h
@@ -13,14 +13,14 @@
 
 namespace citronlane {
 
-/// Puts commands into the replicated log under cluster time. Cluster time runs
-/// while some node leads: a leader goes on from the time in the state it took
-/// over, by its monotonic clock, so it never runs ahead of real time. Thread
-/// safe.
+/// Proposes commands to the replicated log, stamped with cluster time. Cluster
+/// time advances only while a node leads: a leader continues from the time in
+/// the replicated state by its monotonic clock, so that cluster time never runs
+/// ahead of real time. Thread safe.
 class CommandProposer {
  public:
-  /// The result, or nothing with the reason when the command is not known to
-  /// be committed; it may still be.
+  /// Receives the result, or nullopt with the reason when the command is not
+  /// known to be committed; it may be committed later.
   using Done = std::function<void(std::optional<wire::StateResult> result,
                                   const Error& error)>;
   /// Replica::Propose.
@@ -30,22 +30,25 @@
 
   explicit CommandProposer(ProposeHook propose);
 
-  /// This node leads, and everything before its term is applied; cluster time
-  /// is `time_ms` now.
+  /// Starts cluster time at `time_ms` as of `now`. Call when this node leads
+  /// and has applied everything from before its term.
   void OnLead(uint64_t time_ms, TimePoint now);
   void OnLeadLost();
   bool leads() const;
 
-  /// Cluster time; nothing while this node does not lead.
+  /// Cluster time in milliseconds; nullopt while this node does not lead.
   std::optional<uint64_t> TimeMs() const;
 
-  /// `done` is called once: at once, or from the replica's thread.
+  /// Proposes a command at the current cluster time. `done` is called once:
+  /// within this call, or on the replica's thread.
   void Propose(wire::StateCommand command, Done done);
 
-  /// The same before OnLead, without moving cluster time.
+  /// Proposes a command without a cluster time, also before OnLead.
   void ProposeFirst(const wire::StateCommand& command, Done done);
 
-  /// Waits for the result, at most `limit`. Not for the replica's thread.
+  /// Proposes a command and waits for its result, at most `limit`. Returns
+  /// nullopt and sets `error` when it is not known to be committed. Must not be
+  /// called on the replica's thread.
   std::optional<wire::StateResult> ProposeAndWait(wire::StateCommand command,
                                                   Duration limit,
                                                   Error* error);
--- a/include/citronlane/control/detail/config_routes.h
+++ b/include/citronlane/control/detail/config_routes.h
@@ -12,8 +12,8 @@
 
 namespace citronlane {
 
-/// Calls of the administration API on the configuration, on the leader. Thread
-/// safe.
+/// Calls of the administration API that concern the configuration; only the
+/// leader runs them. Thread safe.
 class ConfigRoutes {
  public:
   explicit ConfigRoutes(const AdminContext& context) : context_(context) {}
@@ -22,9 +22,9 @@
   AdminResponse History() const;
   AdminResponse Status(const AdminRequest& request) const;
   AdminResponse Change(const AdminRequest& request,
-                       const std::string& who) const;
+                       const std::string& operator_name) const;
   AdminResponse Rollback(const AdminRequest& request,
-                         const std::string& who) const;
+                         const std::string& operator_name) const;
 
  private:
   AdminResponse Commit(wire::ConfigChange change) const;
--- a/include/citronlane/control/detail/control_admin.h
+++ b/include/citronlane/control/detail/control_admin.h
@@ -14,30 +14,30 @@
 
 namespace citronlane {
 
-/// The administration API of one control VM: knows the operators, points to
-/// the leader, finds the route. Thread safe.
+/// The administration API of one control VM: authenticates operators, redirects
+/// to the leader and dispatches calls to their route. Thread safe.
 class ControlAdmin {
  public:
   explicit ControlAdmin(AdminContext context);
   ControlAdmin(const ControlAdmin&) = delete;
   ControlAdmin& operator=(const ControlAdmin&) = delete;
 
-  /// Blocks for a few seconds at most.
+  /// Serves a call. Blocks for a few seconds at most.
   AdminResponse Handle(const AdminRequest& request) const;
 
  private:
-  enum class Where { kHere, kLeader };
+  enum class Target { kAnyNode, kLeader };
 
-  /// `argument` is the part of the path that stands for '*', `who` the
-  /// operator.
+  /// `argument` is the path segment matched by '*', `operator_name` the
+  /// operator's name.
   using Run = std::function<AdminResponse(const AdminRequest& request,
                                           const std::string& argument,
-                                          const std::string& who)>;
+                                          const std::string& operator_name)>;
   struct Route {
     std::string method_;
-    /// At most one part is '*'.
+    /// Path pattern; at most one segment is '*'.
     std::string path_;
-    Where where_;
+    Target target_;
     Run run_;
   };
 
@@ -46,8 +46,8 @@
                          const AdminRequest& request,
                          const std::string& argument) const;
   const OperatorKey* OperatorOf(const AdminRequest& request) const;
-  AdminResponse PointToLeader(const AdminRequest& request) const;
-  bool ConfirmLead() const;
+  AdminResponse RedirectToLeader(const AdminRequest& request) const;
+  bool ConfirmLeadership() const;
   AdminResponse Health() const;
   AdminResponse Metrics() const;
 
--- a/include/citronlane/control/detail/control_calls.h
+++ b/include/citronlane/control/detail/control_calls.h
@@ -12,13 +12,13 @@
 
 namespace citronlane {
 
-/// Answers the gateways' calls: turns them into commands on the leader, names
-/// the leader elsewhere. Thread safe.
+/// Serves the gateways' calls: the leader turns them into commands, other nodes
+/// reply with the leader's address. Thread safe.
 class ControlCalls {
  public:
   using StatusHook = std::function<ReplicaStatus()>;
 
-  /// The references must outlive this.
+  /// The references and pointers must outlive this object.
   ControlCalls(const ControlOptions& options,
                ControlState* state,
                CommandProposer* proposer,
@@ -26,7 +26,7 @@
 
   ControlServiceHooks MakeHooks();
 
-  /// Address of the leader's service for gateways, or empty.
+  /// "IP:port" of the leader's service for gateways; empty when not known.
   std::string LeaderAddress() const;
 
  private:
@@ -40,7 +40,7 @@
                    Done<wire::FinishClaimReply> done);
   void Report(const wire::ReportRequest& request, Done<wire::ReportReply> done);
   void AddLimits(wire::ReportCommand* report) const;
-  void ProposeLeaving(const wire::ReportRequest& request);
+  void ProposeLeavingServers(const wire::ReportRequest& request);
 
   const ControlOptions& options_;
   ControlState* const state_;
--- a/include/citronlane/control/detail/control_leader.h
+++ b/include/citronlane/control/detail/control_leader.h
@@ -18,15 +18,16 @@
 
 class OrderDispatcher;
 
-/// What only the leader does, on a thread of its own: takes the fencing
-/// number, keeps the addresses of the control VMs, forgets silent gateways,
-/// has engine orders sent. Thread safe, but Start and Stop.
+/// The leader's duties, on a thread of its own: acquires the fencing number,
+/// registers the addresses of the control VMs, removes silent gateways and
+/// dispatches engine orders. Thread safe, except that Start and Stop are called
+/// by one thread.
 class ControlLeader {
  public:
   using StatusHook = std::function<ReplicaStatus()>;
   using LogHook = std::function<void(std::string_view)>;
 
-  /// The references must outlive this.
+  /// The references and pointers must outlive this object.
   ControlLeader(const ControlOptions& options,
                 ControlState* state,
                 CommandProposer* proposer,
@@ -38,11 +39,11 @@
   ControlLeader& operator=(const ControlLeader&) = delete;
 
   void Start();
-  /// May be called twice. Precondition: the replica answers or refuses what
-  /// was proposed.
+  /// Ends the thread. May be called twice. Precondition: the replica completes
+  /// or refuses pending proposals, since the thread may wait for one.
   void Stop();
 
-  /// Hook of the Replica.
+  /// ReplicaHooks::role_changed_.
   void OnRole(Role role, uint64_t term);
 
   /// Fencing number of this leadership; 0 while this node does not lead.
@@ -51,9 +52,9 @@
  private:
   void Run();
   void Work();
-  void TakeLead(uint64_t term);
-  void KeepPeers();
-  void ForgetSilentGateways();
+  void AcquireFencingNumber(uint64_t term);
+  void RegisterMissingPeers();
+  void RemoveSilentGateways();
 
   const ControlOptions& options_;
   ControlState* const state_;
@@ -64,10 +65,10 @@
 
   mutable std::mutex mutex_;
   std::condition_variable wake_;
-  /// Term this node leads in, 0 for none.
+  /// Term in which this node leads; 0 while it does not lead.
   uint64_t term_ = 0;
-  bool taking_lead_ = false;
-  TimePoint lead_since_{};
+  bool acquiring_fencing_number_ = false;
+  TimePoint leading_since_{};
   uint64_t fencing_number_ = 0;
   WorkerThread thread_{&mutex_, &wake_};
 };
--- a/include/citronlane/control/detail/control_metrics.h
+++ b/include/citronlane/control/detail/control_metrics.h
@@ -10,13 +10,13 @@
 class ControlState;
 struct ConfigSpread;
 
-/// Returns what a control VM knows of itself in the Prometheus text format.
-/// Thread safe.
+/// Returns a control VM's metrics in the Prometheus text format. Thread safe.
 std::string ControlMetricsText(const ReplicaStatus& status,
                                ControlState& state);
 
-/// The same of a control VM that feeds gateways whole documents. Thread safe.
-std::string FeedMetricsText(bool leads, const ConfigSpread& spread);
+/// Returns the metrics of a control VM with a GatewayFeed in the Prometheus
+/// text format. Thread safe.
+std::string FeedMetricsText(bool leads, const ConfigSpread& propagation);
 
 }  // namespace citronlane
 
--- a/include/citronlane/control/detail/control_state.h
+++ b/include/citronlane/control/detail/control_state.h
@@ -23,55 +23,58 @@
 
 struct ClusterConfig;
 
-/// The replicated state of one control VM with what hangs on it: the feed to
-/// the watchers, the answers to lease renewals, and who has which version in
-/// force. Thread safe.
+/// The replicated state of one control VM with what depends on it: the feed to
+/// watching gateways, the replies to lease renewals, and the version that each
+/// gateway has in force. Thread safe.
 class ControlState {
  public:
   using LogHook = std::function<void(std::string_view)>;
 
   ControlState(Duration config_lease, size_t max_watchers, LogHook log);
 
-  /// Hooks of the Replica.
+  /// Hooks of the Replica; see ReplicaHooks.
   std::string Apply(uint64_t index, std::string_view payload);
   void OnAppended(uint64_t index, std::string_view payload);
   void OnTruncated(uint64_t index);
   std::string TakeSnapshot() const;
   void InstallSnapshot(std::string_view data);
 
-  /// Runs `view` while nothing changes; it must be short.
+  /// Runs `view` under the lock. It must be short and call nothing of this
+  /// object.
   void View(const std::function<void(const StateMachine&)>& view) const;
 
-  /// Whether a snapshot was damaged; nothing here is to be trusted then.
+  /// Whether a damaged snapshot was received; the state must not be used then.
   bool is_broken() const;
 
-  /// Answers a lease renewal and notes what the gateway reports. `status` must
-  /// have been read after the question arrived.
+  /// Returns the reply to a lease renewal and records what the gateway reports.
+  /// `status` must have been read after the request arrived.
   wire::LeaseReply RenewLease(const wire::LeaseRequest& request,
                               const ReplicaStatus& status);
 
+  /// Opens a watch stream for a gateway that holds `version`; see
+  /// ConfigFeed::Open.
   ConfigFeed::Stream* OpenWatch(uint64_t version);
   ConfigFeed& feed() { return feed_; }
 
-  /// The configuration applied here; never null, empty at version 0.
+  /// Returns the configuration applied here; never null, empty at version 0.
   std::shared_ptr<const ClusterConfig> config() const;
 
   InForceStatus StatusOf(uint64_t version) const;
-  /// Waits until the version is in force everywhere or `until` has come.
+  /// Blocks until the version is in force on all gateways or until `until`.
   InForceStatus WaitInForce(uint64_t version, TimePoint until) const;
 
-  /// By gateway name.
-  std::map<std::string, GatewaySighting> sightings() const;
+  /// Returns the last observation of each gateway, by name.
+  std::map<std::string, GatewayObservation> observations() const;
 
  private:
-  void Tell(const StateEffects& effects);
+  void PublishEffects(const StateEffects& effects);
   wire::ConfigUpdate CatchUp(uint64_t version) const;
-  void ReadConfig();
+  void ParseConfig();
   void AddServer(const std::string& server, wire::ConfigUpdate* update) const;
-  void SeeRegistered(const std::string& gateway,
-                     uint64_t incarnation,
-                     TimePoint now);
-  void Note(const wire::LeaseRequest& request);
+  void RecordRegistration(const std::string& gateway,
+                          uint64_t incarnation,
+                          TimePoint now);
+  void RecordLeaseRequest(const wire::LeaseRequest& request);
   void AddPeers(const wire::LeaseRequest& request,
                 wire::LeaseReply* reply) const;
 
@@ -82,7 +85,7 @@
   UnappliedLog unapplied_;
   InForceTracker tracker_;
   bool is_broken_ = false;
-  std::map<std::string, GatewaySighting> sightings_;
+  std::map<std::string, GatewayObservation> observations_;
   std::shared_ptr<const ClusterConfig> config_;
   ConfigFeed feed_;
 };
--- a/include/citronlane/control/detail/fleet_routes.h
+++ b/include/citronlane/control/detail/fleet_routes.h
@@ -10,8 +10,8 @@
 
 namespace citronlane {
 
-/// Calls of the administration API on refusals, control VMs, backend servers
-/// and engine orders. Thread safe.
+/// Calls of the administration API that concern refusals, control VMs, backend
+/// servers and engine orders. Thread safe.
 class FleetRoutes {
  public:
   explicit FleetRoutes(const AdminContext& context) : context_(context) {}
@@ -24,8 +24,8 @@
   AdminResponse Orders() const;
   AdminResponse SubmitOrder(const std::string& server,
                             const AdminRequest& request,
-                            const std::string& who) const;
-  /// Of this node; needs no leader.
+                            const std::string& operator_name) const;
+  /// Returns the status of this node; needs no leader.
   AdminResponse Status() const;
 
  private:
--- a/include/citronlane/control/detail/gateway_sighting.h
+++ b/include/citronlane/control/detail/gateway_sighting.h
@@ -8,14 +8,16 @@
 
 namespace citronlane {
 
-/// What a gateway's last lease renewal said to one control VM.
-struct GatewaySighting {
+/// What one control VM knows of a gateway from its registration and its last
+/// lease renewal.
+struct GatewayObservation {
   uint64_t incarnation_ = 0;
   std::string failure_domain_;
-  /// Version in force there, and when it was first named here.
+  /// Configuration version in force there, and when it was first reported here.
   uint64_t version_ = 0;
   TimePoint since_{};
-  TimePoint seen_{};
+  /// Last registration or lease renewal.
+  TimePoint last_contact_{};
 };
 
 }  // namespace citronlane
--- a/include/citronlane/control/detail/order_dispatcher.h
+++ b/include/citronlane/control/detail/order_dispatcher.h
@@ -17,15 +17,15 @@
 
 namespace citronlane {
 
-/// Sends the orders of the state to their engines while this node leads: each
-/// is committed as started under the fencing number, sent once, and its end is
-/// committed. Thread safe.
+/// Sends the orders in the replicated state to their engines while this node
+/// leads. Each is committed as started under the fencing number, sent once, and
+/// its outcome is committed. Thread safe.
 class OrderDispatcher {
  public:
-  /// Whether a quorum answered within the leader lease.
+  /// Whether a quorum replied within the leader lease.
   using LeaseHook = std::function<bool()>;
 
-  /// The references must outlive this.
+  /// The references and pointers must outlive this object.
   OrderDispatcher(const ControlOptions& options,
                   ControlState* state,
                   CommandProposer* proposer,
@@ -34,11 +34,11 @@
   void OnLead(uint64_t number, TimePoint now);
   void OnLeadLost();
 
-  /// Starts at most one order; called often by the leader's thread.
+  /// Starts at most one order. Called periodically by the leader's thread.
   void Work();
 
-  /// Closes the open connections. Precondition: the replica answers or refuses
-  /// what was proposed.
+  /// Closes the open connections. Precondition: the replica completes or
+  /// refuses pending proposals.
   void Stop();
 
  private:
@@ -54,7 +54,7 @@
   const LeaseHook has_lease_;
   mutable std::mutex mutex_;
   OrderGate gate_;
-  /// Orders proposed or sent and not over.
+  /// Ids of the orders that were proposed or sent and have not ended.
   std::set<std::string> open_;
   OrderSender sender_;
 };
--- a/include/citronlane/control/detail/pending_calls.h
+++ b/include/citronlane/control/detail/pending_calls.h
@@ -12,20 +12,22 @@
 
 namespace citronlane {
 
-/// Proposals and reads of this node that wait for the log. Each is answered
-/// once. Not thread safe.
+/// Proposals and reads of this node that wait for the log. Each callback is
+/// called once. Not thread safe.
 class PendingCalls {
  public:
-  /// `done` waits for the entry at (`index`, `term`).
+  /// Adds a proposal whose `done` waits for the entry at (`index`, `term`).
   void AddProposal(uint64_t index, uint64_t term, Replica::ProposeDone done);
-  /// Returns the context of the new read.
+  /// Adds a read and returns its context.
   uint64_t AddRead(Replica::ReadDone done);
 
-  /// `entry` was applied with this result.
+  /// Completes the proposal at the entry's index, if any: with `result` when
+  /// the entry is the proposed one, else as failed.
   void Applied(const Entry& entry, std::string result);
-  /// The read was confirmed, or refused.
+  /// Completes a read; unknown contexts are ignored.
   void FinishRead(uint64_t context, bool confirmed);
-  /// Answers everything: the outcome is not known.
+  /// Completes all proposals and reads as failed; whether a proposal will be
+  /// committed is not known.
   void FailAll(const std::string& reason);
 
  private:
--- a/include/citronlane/control/detail/replica_impl.h
+++ b/include/citronlane/control/detail/replica_impl.h
@@ -23,7 +23,7 @@
 
 namespace citronlane {
 
-/// Inner part of Replica. Other threads only fill the inbox and read the
+/// Implementation of Replica. Other threads only fill the inbox and read the
 /// published status; everything else belongs to the replica's thread.
 class Replica::Impl {
  public:
@@ -67,14 +67,14 @@
     bool IsEmpty() const;
   };
 
-  // replica.cc: start, stop, and what other threads call.
+  // replica.cc: start, stop, and the calls of other threads.
   bool OpenDisk(Error* error);
   bool StartServer(Error* error);
   ReplicationGreeting Greet() const;
   bool Post(const std::function<void(Inbox*)>& fill);
   void Log(const std::string& line) const;
 
-  // replica_loop.cc: the thread.
+  // replica_loop.cc: loop of the replica's thread.
   void Run();
   Inbox WaitForInbox();
   void HandleInbox(Inbox inbox);
@@ -82,19 +82,19 @@
   void HandleReads(std::vector<ReadDone> reads);
   void HandleChanges(std::vector<MembershipChange> changes);
   Membership MembershipAfter(const MembershipChange& change) const;
-  bool IsHandedOver();
+  bool MayEndThread();
   void Fail(const std::string& reason);
   void Refuse(const Inbox& inbox, const std::string& reason);
   void PublishStatus();
 
-  // replica_ready.cc: carrying out what the RaftNode asks for.
+  // replica_ready.cc: carrying out the RaftNode's Ready.
   void CarryOutReady();
   bool StoreReady(const Ready& ready, Error* error);
   void NotifyAppended(const std::vector<Entry>& entries);
   void Apply(const std::vector<Entry>& committed);
   void NotifyRole();
 
-  // replica_formation.cc: start of a new cluster.
+  // replica_formation.cc: formation of a new cluster.
   void StartNode(StoredState state);
   void TickFormation(const std::vector<Greeting>& greetings);
   void Form();
@@ -115,8 +115,8 @@
   uint64_t last_term_ = 0;
   uint64_t last_appended_ = 0;
   SnapshotTaker snapshots_;
-  bool handing_over_ = false;
-  TimePoint hand_over_until_;
+  bool transferring_leadership_ = false;
+  TimePoint leadership_transfer_deadline_;
 
   mutable std::mutex mutex_;
   std::condition_variable wake_;
--- a/include/citronlane/control/detail/replica_peers.h
+++ b/include/citronlane/control/detail/replica_peers.h
@@ -16,23 +16,24 @@
 namespace citronlane {
 
 /// Connections of one replica to the others, made when first needed. Not thread
-/// safe, but Learn.
+/// safe, except for Learn.
 class ReplicaPeers {
  public:
   ReplicaPeers(uint64_t own_id,
                std::string own_address,
                std::shared_ptr<grpc::ChannelCredentials> credentials);
 
-  /// Node `id` said that it answers at `address`; used while no membership
-  /// names it. Thread safe.
+  /// Records the address that node `id` reported for itself; used while the
+  /// membership does not name it. Thread safe.
   void Learn(uint64_t id, std::string address);
 
-  /// Sends each message to its node, at the address of `membership`.
+  /// Sends each message to its node, at the address in `membership` or the
+  /// recorded one; messages to nodes without either are dropped.
   void Send(TimePoint now,
             const Membership& membership,
             std::vector<Message> messages);
 
-  /// Connection to `id` at `address`.
+  /// Returns the connection to node `id` at `address`.
   ReplicationPeer& Get(uint64_t id, const std::string& address);
 
   void Clear() { connections_.clear(); }
--- a/include/citronlane/control/detail/snapshot_taker.h
+++ b/include/citronlane/control/detail/snapshot_taker.h
@@ -13,32 +13,33 @@
 class RaftNode;
 class ReplicaStorage;
 
-/// Replaces the log by a snapshot once enough was applied since the last one.
-/// Not thread safe: belongs to whoever drives the RaftNode.
+/// Takes a snapshot and compacts the log once enough entries were applied since
+/// the last one. Not thread safe: used on the thread that drives the RaftNode.
 class SnapshotTaker {
  public:
-  /// Returns the state's data.
+  /// Returns the complete applied state.
   using TakeHook = std::function<std::string()>;
 
-  /// A snapshot is due after `interval` entries or `bytes` of them. Without
-  /// a hook none is.
+  /// A snapshot is due after `interval` entries or `bytes` of commands. Without
+  /// a hook none is ever due.
   SnapshotTaker(uint64_t interval, uint64_t bytes, TakeHook take);
 
-  /// The state is that of a stored snapshot with this index.
+  /// Records that the state is that of a stored snapshot with this index.
   void OnInstalled(uint64_t index) { index_ = index; }
-  /// An entry with that many bytes was applied.
+  /// Records that an entry with a command of this size was applied.
   void OnApplied(size_t bytes) { bytes_since_ += bytes; }
 
-  /// Takes a snapshot if one is due; false with the reason when the disk
-  /// fails.
+  /// Takes a snapshot if one is due. Returns false and sets `error` when the
+  /// disk fails.
   bool TakeIfDue(RaftNode* node, ReplicaStorage* storage, Error* error);
-  /// Takes one in any case. Precondition: there is a hook.
+  /// Takes a snapshot, due or not. Returns false and sets `error` when the disk
+  /// fails. Precondition: there is a hook.
   bool Take(RaftNode* node, ReplicaStorage* storage, Error* error);
 
   /// Index of the last snapshot; 0 for none.
   uint64_t index() const { return index_; }
-  /// Whether bytes were applied that it may not hold.
-  bool has_news() const { return bytes_since_ != 0; }
+  /// Whether commands were applied since the last snapshot that was taken.
+  bool has_unsaved_commands() const { return bytes_since_ != 0; }
 
  private:
   const uint64_t interval_;
--- a/include/citronlane/control/detail/vm_list_poller.h
+++ b/include/citronlane/control/detail/vm_list_poller.h
@@ -15,13 +15,15 @@
 
 namespace citronlane {
 
-/// On the leader: asks the platform for its list and commits what it changes.
-/// A thread of its own. Start and Stop are called by one thread.
+/// Polls the platform's VM list on the leader and commits the changes of
+/// backend servers in it. Has a thread of its own; Start and Stop are called by
+/// one thread.
 class VmListPoller {
  public:
   using LogHook = std::function<void(std::string_view)>;
 
-  /// An empty `address` polls nothing. The pointers must outlive this.
+  /// An empty `address` disables polling. The pointers must outlive this
+  /// object.
   VmListPoller(const std::string& address,
                Duration interval,
                ControlState* state,
@@ -32,15 +34,15 @@
   VmListPoller& operator=(const VmListPoller&) = delete;
 
   void Start();
-  /// May be called twice. Precondition: the replica answers or refuses what
-  /// was proposed.
+  /// Ends the thread. May be called twice. Precondition: the replica completes
+  /// or refuses pending proposals, since the thread may wait for one.
   void Stop();
 
  private:
   void Run();
   void Poll();
-  void Propose(const VmListClient::States& seen);
-  void TellOnce(const std::string& failure);
+  void Propose(const VmListClient::States& listed);
+  void LogFailureOnce(const std::string& failure);
 
   const bool enabled_;
   const VmListClient client_;
@@ -48,7 +50,7 @@
   ControlState* const state_;
   CommandProposer* const proposer_;
   const LogHook log_;
-  /// Last failure that was told.
+  /// Last failure that was logged; empty when the last poll succeeded.
   std::string failure_;
   std::mutex mutex_;
   std::condition_variable wake_;
--- a/include/citronlane/control/gateway_feed.h
+++ b/include/citronlane/control/gateway_feed.h
@@ -29,25 +29,27 @@
 class WatchUpdate;
 }  // namespace wire::fleet
 
-/// What a control VM tells the gateways that watch it: the configuration, the
-/// list of backend servers, and the other gateways. A VM that does not lead
-/// only says who does. On the event loop's thread.
+/// Sends updates to the gateways that watch this control VM: the configuration,
+/// the list of backend servers, the drained failure domains, the other gateways
+/// and the owners of pools. A VM that does not lead sends the leader's address,
+/// a configuration only to a gateway that has none, and the other gateways only
+/// while no leader is known. Runs on the event loop's thread.
 class GatewayFeed {
  public:
-  /// Who leads, in internal endpoints.
+  /// The known leadership; addresses are internal endpoints.
   struct Leadership {
     bool leads_ = false;
-    /// Empty when not known.
+    /// The leader's endpoint; empty when not known.
     std::string leader_;
     std::vector<std::string> members_;
     uint64_t term_ = 0;
   };
   using LeadershipHook = std::function<Leadership()>;
-  /// Services for which gateways decide: those that have a stage pool or
-  /// engines by the configuration.
+  /// Returns the services whose backend servers gateways assign work to: those
+  /// with a stage pool or engines in the configuration.
   using PoolsHook = std::function<std::vector<PooledService>()>;
 
-  /// `state` and `log` outlive the feed.
+  /// `state` and `log` must outlive the feed.
   GatewayFeed(const FleetState* state,
               EventLog* log,
               LeadershipHook leadership,
@@ -56,42 +58,47 @@
   GatewayFeed(const GatewayFeed&) = delete;
   GatewayFeed& operator=(const GatewayFeed&) = delete;
 
-  /// A gateway asks to be kept up to date, or says something new of itself.
+  /// Starts to send updates to a gateway, or updates what it reported of
+  /// itself. Sends it what it lacks at once.
   void Watch(const std::shared_ptr<FrameChannel>& channel,
              const wire::fleet::WatchRequest& request,
              TimePoint now);
-  /// A gateway has taken the configuration that it was sent last.
+  /// Records the configuration version that a gateway holds after the last
+  /// configuration sent to it.
   void ConfirmConfig(const FrameChannel* channel,
                      const wire::fleet::ConfigHeld& held,
                      TimePoint now);
-  void Closed(const FrameChannel* channel);
+  /// Removes the gateway of a closed channel.
+  void OnClosed(const FrameChannel* channel);
 
-  /// A whole list was read at `now`; `unusable` more entries named no server.
+  /// Replaces the list of backend servers, read completely at `now`. `unusable`
+  /// is the number of further entries that name no server.
   void SetServers(std::vector<BackendServer> servers,
                   size_t unusable,
                   TimePoint now);
-  /// This node began to lead: what it knows of servers and gateways is old.
+  /// Resets the known servers and gateways when this node becomes the leader,
+  /// since they are out of date.
   void StartLeading(TimePoint now);
 
-  /// Sends everybody what is new, and a sign of life. Call at each change and
+  /// Sends every gateway what changed, and a keepalive. Call at each change and
   /// every 200 ms.
   void PushAll(TimePoint now);
 
   size_t gateways() const { return watchers_.size(); }
-  /// Whether all gateways that watch hold this version or a later one. Those
-  /// that have left an update unconfirmed for long do not count: nobody waits
-  /// for one that is cut off.
+  /// Whether all watching gateways hold this version or a later one. A gateway
+  /// that has not confirmed an update for long does not count: it is assumed to
+  /// be disconnected.
   bool IsHeldByAll(uint64_t version, TimePoint now) const;
-  /// Of the newest version among the gateways that watch here.
-  ConfigSpread Spread() const;
+  /// Propagation of the newest version among the watching gateways.
+  ConfigSpread Propagation() const;
 
  private:
   struct Watcher;
 
-  void UpdateAssignment(TimePoint now);
-  std::vector<PoolPart> Parts() const;
+  void UpdatePoolAssignment(TimePoint now);
+  std::vector<PoolPart> Partitions() const;
   void Push(Watcher* watcher, TimePoint now);
-  void NoteConfig(TimePoint now);
+  void RecordNewestConfig(TimePoint now);
   void AddConfig(Watcher* watcher,
                  bool leads,
                  TimePoint now,
@@ -107,10 +114,10 @@
   const PoolsHook pools_;
   std::map<const FrameChannel*, std::unique_ptr<Watcher>> watchers_;
   RecentDocuments documents_;
-  /// When the newest of them was known here.
+  /// When the newest of them became known here.
   TimePoint config_since_;
-  /// What was logged of the newest one.
-  bool logged_everywhere_ = false;
+  /// Which progress events of the newest one were logged.
+  bool logged_complete_ = false;
   bool logged_late_ = false;
   std::vector<BackendServer> servers_;
   size_t unusable_ = 0;
--- a/include/citronlane/control/member_address.h
+++ b/include/citronlane/control/member_address.h
@@ -7,12 +7,13 @@
 
 namespace citronlane {
 
-/// Address of a member as the membership holds it: "IP:port" of its internal
-/// service and, for one that joined later, "#" and the number drawn by the disk
-/// that joined. A VM that comes back with an empty disk has another number.
+/// Returns the address of a member that joined a running cluster, as the
+/// membership stores it: "IP:port" of its internal service, "#" and the nonce
+/// that it drew when it joined. A VM that returns with an empty disk has
+/// another nonce. Members that formed the cluster have no nonce. Thread safe.
 std::string MemberAddress(std::string_view endpoint, uint64_t nonce);
 
-/// "IP:port" of a member's address.
+/// Returns the "IP:port" of a member's address. Thread safe.
 std::string EndpointOf(std::string_view address);
 
 }  // namespace citronlane
--- a/include/citronlane/control/membership_keeper.h
+++ b/include/citronlane/control/membership_keeper.h
@@ -13,33 +13,37 @@
 
 namespace citronlane {
 
-/// Keeps the membership of the control VMs whole without an operator: takes
-/// empty disks and new VMs in as learners, makes them voters, and replaces
-/// voters that are gone. Pure; used by the leader. Not thread safe.
+/// Decides on the membership changes of the control VMs, so that no operator is
+/// needed: adds new VMs and those with an empty disk as learners, promotes
+/// learners to voters, and replaces voters that are lost. Used by the leader,
+/// which carries the changes out. Does no I/O. Not thread safe.
 class MembershipKeeper {
  public:
   struct Options {
-    /// Voters that bear the losses the settings name: twice as many and one.
+    /// Number of voters to aim for: twice the tolerated losses plus one.
     size_t target_voters_ = 3;
-    /// A node that was silent this long does not count as alive.
+    /// A node that sent nothing for this long does not count as alive.
     Duration alive_ = std::chrono::milliseconds(800);
-    /// A voter that was silent this long gives its place to a learner that is
+    /// A voter that sent nothing for this long is replaced by a learner that is
     /// alive. Longer than a restart takes.
     Duration replace_after_ = std::chrono::milliseconds(2500);
-    /// A learner that was silent this long is dropped; it joins anew.
+    /// A learner that sent nothing for this long is removed; it may join again.
     Duration drop_learner_after_ = std::chrono::seconds(8);
   };
 
   explicit MembershipKeeper(const Options& options);
 
-  /// A VM asks to be a member; see MemberAddress. Kept until it is one.
-  void Wish(const std::string& endpoint, uint64_t nonce);
-  /// A message of the node came in.
-  void Heard(uint64_t id, TimePoint now);
-  /// This node began to lead: everybody counts as heard just now.
+  /// Records that a VM requests to join; see MemberAddress for `nonce`. The
+  /// request is kept until the VM is a member.
+  void AddJoinRequest(const std::string& endpoint, uint64_t nonce);
+  /// Records that a message of the node was received.
+  void RecordContact(uint64_t id, TimePoint now);
+  /// Resets the state when this node becomes the leader: all members count as
+  /// in contact at `now`, and join requests are dropped.
   void StartLeading(const Membership& membership, TimePoint now);
 
-  /// The next change that is due, if any. `self` is the leader.
+  /// Returns the next membership change that is due, if any. `self` is the id
+  /// of the leader.
   std::optional<MembershipStep> Next(const Membership& membership,
                                      uint64_t self,
                                      TimePoint now);
@@ -54,17 +58,19 @@
                       uint64_t id,
                       uint64_t self,
                       TimePoint now) const;
-  std::optional<MembershipStep> NextForWishes(const Membership& membership,
-                                              uint64_t self,
-                                              TimePoint now);
-  std::optional<MembershipStep> NextForLearners(const Membership& membership,
-                                                uint64_t self,
-                                                TimePoint now) const;
+  std::optional<MembershipStep> NextForJoinRequests(
+      const Membership& membership,
+      uint64_t self,
+      TimePoint now);
+  std::optional<MembershipStep> NextForCurrentMembers(
+      const Membership& membership,
+      uint64_t self,
+      TimePoint now) const;
 
   const Options options_;
-  std::map<uint64_t, TimePoint> heard_;
-  /// Latest nonce of each endpoint that wants to join.
-  std::map<std::string, uint64_t> wishes_;
+  std::map<uint64_t, TimePoint> last_contact_;
+  /// Latest nonce of each endpoint that requests to join.
+  std::map<std::string, uint64_t> join_requests_;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/control/membership_step.h
+++ b/include/citronlane/control/membership_step.h
@@ -6,15 +6,15 @@
 
 namespace citronlane {
 
-/// One change of the membership, and why it is made.
+/// One change of the membership and its reason.
 struct MembershipStep {
   enum class Kind { kAddLearner, kPromote, kRemove };
 
   Kind kind_ = Kind::kAddLearner;
   uint64_t id_ = 0;
-  /// Of a new learner.
+  /// kAddLearner: address of the learner; see MemberAddress.
   std::string address_;
-  /// Short text for the log.
+  /// Reason of the change, for the log.
   std::string reason_;
 };
 
--- a/include/citronlane/control/node_identity.h
+++ b/include/citronlane/control/node_identity.h
@@ -9,23 +9,24 @@
 
 namespace citronlane {
 
-/// Who this VM's disk says it is. Each identity has a folder of its own, whose
-/// name holds the node id and whether the id came with the first seeds or was
-/// given by a leader.
+/// Identity of this VM as a node, stored on its disk. Each identity has a
+/// folder of its own, whose name holds the node id and whether the id was
+/// derived from the first seeds or assigned by a leader.
 struct NodeIdentity {
   uint64_t id_ = 0;
-  /// One of the voters that begin the cluster.
+  /// Whether the node is one of the voters that form the cluster.
   bool is_founder_ = false;
 
-  /// Folder of the identity below `data_dir`.
+  /// Returns the folder of the identity in `data_dir`.
   std::string Folder(const std::string& data_dir) const;
 
-  /// The newest identity that the disk holds; nothing when it holds none, or
-  /// with a reason when it can't be read.
+  /// Returns the identity with the highest id on the disk, or nullopt when
+  /// there is none. Sets `error` when the folder can not be read.
   static std::optional<NodeIdentity> Find(const std::string& data_dir,
                                           Error* error);
 
-  /// Removes every identity. False with a reason when the disk refuses.
+  /// Removes every identity with its files. Returns false and sets `error` when
+  /// that fails.
   static bool RemoveAll(const std::string& data_dir, Error* error);
 };
 
--- a/include/citronlane/control/operator_api.h
+++ b/include/citronlane/control/operator_api.h
@@ -20,46 +20,47 @@
 struct HttpReply;
 struct HttpRequest;
 
-/// The operators' side of a control VM: takes whole configurations, reads the
-/// newest one back, and drains failure domains. Only the leader answers; the
-/// others name it. Each tells its own metrics. Runs in the coroutines of its
-/// listener, on the event loop's thread.
+/// The operators' HTTP API of a control VM: replaces the configuration, returns
+/// the newest one, and drains failure domains. Only the leader serves these
+/// calls; the other VMs redirect to it. Every VM serves its own metrics. Runs
+/// in the coroutines of its listener, on the event loop's thread.
 class OperatorApi {
  public:
   struct Hooks {
-    /// Whether this VM leads and may answer.
+    /// Whether this VM leads and may serve calls.
     std::function<bool()> leads_;
     /// "IP:port" of the leader's operator address; empty when not known.
     std::function<std::string()> leader_;
-    /// Brings a document into the replicated log.
+    /// Submits a document to the replicated log.
     std::function<
         void(uint64_t version, std::string document, ConfigProposer::Done done)>
         submit_;
-    /// Puts into the replicated log that a failure domain is drained, or no
-    /// longer.
+    /// Submits the drain of a failure domain, or its end, to the replicated
+    /// log.
     std::function<void(const std::string& domain,
                        bool is_drained,
                        ConfigProposer::Done done)>
         set_drained_;
+    /// Starts a linearizable read; see Replica::Read.
     std::function<void(Replica::ReadDone done)> read_;
-    /// Whether as many voters hold what is committed as the tolerated losses
-    /// need.
+    /// Whether there are as many voters as the tolerated losses need.
     std::function<bool()> has_all_voters_;
-    /// Whether the gateways hold this version or a later one, but for those
-    /// that have been silent for long.
+    /// Whether the gateways hold this version or a later one, except for those
+    /// without contact for long.
     std::function<bool(uint64_t version)> gateways_hold_;
-    /// What this VM knows of itself in the Prometheus text format.
+    /// Returns this VM's metrics in the Prometheus text format.
     std::function<std::string()> metrics_;
   };
 
-  /// All but the hooks' own state outlive the object.
+  /// The pointers must outlive this object.
   OperatorApi(boost::asio::io_context* io,
               const Dialect* dialect,
               const FleetState* state,
               EventLog* log,
               Hooks hooks);
 
-  /// Answers one call.
+  /// Serves one call. Suspends the calling coroutine while it waits for the
+  /// log.
   void Serve(const HttpRequest& request, HttpExchange* exchange);
 
  private:
@@ -68,9 +69,9 @@
   HttpReply SetDrained(const std::string& domain,
                        bool is_drained,
                        HttpExchange* exchange);
-  HttpReply Elsewhere(const HttpRequest& request) const;
-  /// Waits until the condition holds. False at `until`, or when the caller has
-  /// gone.
+  HttpReply RedirectToLeader(const HttpRequest& request) const;
+  /// Waits until the condition holds. Returns false at `until`, or when the
+  /// operator has closed the connection.
   bool WaitFor(HttpExchange* exchange,
                TimePoint until,
                const std::function<bool()>& condition);
--- a/include/citronlane/control/operator_key.h
+++ b/include/citronlane/control/operator_key.h
@@ -7,9 +7,9 @@
 
 namespace citronlane {
 
-/// One operator's bearer key of the administration API.
+/// Bearer key of one operator of the administration API.
 struct OperatorKey {
-  /// Named in the history of each change.
+  /// Name of the operator, recorded in the history of each change.
   std::string operator_;
   /// Lower-case hexadecimal SHA-256 digest of the key.
   std::string digest_;
--- a/include/citronlane/control/operator_role.h
+++ b/include/citronlane/control/operator_role.h
@@ -3,11 +3,11 @@
 
 namespace citronlane {
 
-/// What an operator's key allows on the administration API.
+/// Permissions of an operator's key on the administration API.
 enum class OperatorRole {
-  /// Every GET.
+  /// All GET calls.
   kRead,
-  /// Everything.
+  /// All calls.
   kChange,
 };
 
--- a/include/citronlane/control/replica.h
+++ b/include/citronlane/control/replica.h
@@ -14,13 +14,14 @@
 
 namespace citronlane {
 
-/// One control VM's copy of the replicated log: drives a RaftNode with the
-/// disk (group commit) and the network (gRPC between control VMs) on one thread
-/// of its own. Thread safe unless said otherwise.
+/// One control VM's copy of the replicated log: drives a RaftNode with the disk
+/// (group commit) and the network (gRPC between control VMs) on a thread of its
+/// own. The replicated state machine is behind ReplicaHooks. Thread safe,
+/// except that Start and Stop are called by one thread.
 class Replica {
  public:
-  /// Result of the command, or nothing with the reason when it is not known to
-  /// be committed (it may still be).
+  /// Receives the result of the command, or nullopt with the reason when it is
+  /// not known to be committed; it may be committed later.
   using ProposeDone = std::function<void(std::optional<std::string> result,
                                          const Error& error)>;
   using ReadDone = std::function<void(bool confirmed)>;
@@ -30,21 +31,26 @@
   Replica(const Replica&) = delete;
   Replica& operator=(const Replica&) = delete;
 
-  /// Reads the disk, replays through the hooks and starts the thread. Call
-  /// once. False with the reason when the disk can not be trusted.
+  /// Reads the disk, restores the last snapshot through the hooks and starts
+  /// the thread. Call once. Returns false and sets `error` when the disk can
+  /// not be trusted or the service can not be started.
   bool Start(Error* error);
 
-  /// Hands over the lead if it has it, then ends the thread.
+  /// Transfers the leadership if this node has it, for at most two election
+  /// timeouts, then ends the thread.
   void Stop();
 
-  /// Appends a command; `done` runs on the replica's thread.
+  /// Appends a command. `done` runs on the replica's thread, or within the call
+  /// when the replica is not running or its queue is full.
   void Propose(std::string payload, ProposeDone done);
 
-  /// Confirms by a quorum that this node leads, once everything committed
-  /// before the call is applied here.
+  /// Starts a linearizable read: `done` gets true once a quorum has confirmed
+  /// this node as leader and everything committed before the call is applied
+  /// here, and false when that fails. Runs `done` as Propose does.
   void Read(ReadDone done);
 
-  /// Adds a learner, makes a learner a voter, or removes a node.
+  /// Adds a learner, promotes a learner to a voter, or removes a node. `done`
+  /// gets an empty result once the change is committed; it runs as for Propose.
   void AddLearner(uint64_t id, std::string address, ProposeDone done);
   void Promote(uint64_t id, ProposeDone done);
   void Remove(uint64_t id, ProposeDone done);
--- a/include/citronlane/control/replica_driver.h
+++ b/include/citronlane/control/replica_driver.h
@@ -22,17 +22,19 @@
 class ReplicaStorage;
 struct MembershipStep;
 
-/// One control VM's copy of the replicated log, driven by an event loop instead
-/// of threads: a disk that stalls stalls the whole process, so that a leader
-/// with a bad disk loses the lead as it should. Reuses RaftNode and
-/// ReplicaStorage. All calls and hooks on one thread.
+/// One control VM's copy of the replicated log: drives a RaftNode with a
+/// ReplicaStorage on an event loop instead of a thread of its own. A disk that
+/// stalls stalls the complete process, so that a leader with a bad disk loses
+/// the leadership as it should. Messages to other nodes are sent by a hook. All
+/// calls and hooks on one thread.
 class ReplicaDriver {
  public:
   struct Options {
     RaftOptions raft_;
     std::string data_dir_;
     uint64_t segment_bytes_ = 4 << 20;
-    /// Entries, and bytes of commands, applied between two snapshots at most.
+    /// Maximum number of entries, and bytes of commands, applied between two
+    /// snapshots.
     uint64_t snapshot_interval_ = 512;
     uint64_t snapshot_bytes_ = 8 << 20;
     FileSystem files_;
@@ -50,47 +52,51 @@
   ReplicaDriver(const ReplicaDriver&) = delete;
   ReplicaDriver& operator=(const ReplicaDriver&) = delete;
 
-  /// Reads the disk. False with the reason when it can't be read or written
-  /// now; the driver is of no use then. Call once, first.
+  /// Reads the disk and starts the node if the disk holds a cluster. Returns
+  /// false and sets `error` when the disk can not be read or written now; no
+  /// other call is allowed then. Call once, before all others.
   bool Open(Error* error);
 
-  /// Whether the disk holds a cluster. Without one the node is inert until
+  /// Whether the node belongs to a cluster. Otherwise it does nothing until
   /// Form or Join is called.
   bool is_formed() const { return node_ != nullptr; }
-  /// Begins a cluster with these voters (address by id) and the incarnations of
-  /// their disks.
+  /// Starts a new cluster with these voters (address by id) and the
+  /// incarnations of their disks. Returns false and sets `error` when the disk
+  /// fails. Precondition: opened, and not formed.
   bool Form(const std::map<uint64_t, std::string>& voters,
             const std::map<uint64_t, uint64_t>& incarnations,
             TimePoint now,
             Error* error);
-  /// Starts as a node that the leader has taken in as a learner.
+  /// Starts the node after the leader has added it as a learner. Precondition:
+  /// opened, and not formed.
   void Join(TimePoint now);
 
-  /// Takes a message or the passage of time, then carries out what follows:
-  /// stores, sends, applies.
+  /// Passes a message or the current time to the RaftNode, then carries out its
+  /// Ready: stores, sends and applies.
   void Step(TimePoint now, const Message& message);
   void Tick(TimePoint now);
 
-  /// `done` gets the command's result, or nothing when it is not known to be
-  /// committed.
+  /// Appends a command. `done` gets its result, or nullopt when it is not known
+  /// to be committed; it may run within this call.
   void Propose(TimePoint now, std::string command, Replica::ProposeDone done);
-  /// Confirms by a quorum that this node leads and has applied everything that
-  /// was committed before the call.
+  /// Starts a linearizable read: `done` gets true once a quorum has confirmed
+  /// this node as leader and everything committed before the call is applied.
   void Read(TimePoint now, Replica::ReadDone done);
-  /// Proposes a change of the membership; false with a reason when refused.
+  /// Proposes a change of the membership. Returns false and sets `error` when
+  /// it is refused.
   bool Change(TimePoint now, const MembershipStep& step, Error* error);
-  /// Hands the lead over, if it has it.
-  void HandOver(TimePoint now);
+  /// Transfers the leadership to another voter if this node has it.
+  void TransferLeadership(TimePoint now);
 
-  /// Not empty once a call on the disk failed: the driver does nothing more and
-  /// has to be made anew from the disk.
+  /// Reason why the disk failed; empty while it has not. After a failure the
+  /// driver does nothing more; construct another one to read the disk again.
   const std::string& failure() const { return failure_; }
 
   uint64_t id() const { return options_.raft_.id_; }
   uint64_t incarnation() const { return options_.raft_.incarnation_; }
-  /// The rest only while formed.
+  /// Precondition: is_formed().
   const RaftNode& node() const { return *node_; }
-  /// Incarnations of the voters; empty when there are none.
+  /// Disk incarnations of the voters by node id; empty while not formed.
   std::map<uint64_t, uint64_t> voter_incarnations() const;
 
  private:
--- a/include/citronlane/control/replica_hooks.h
+++ b/include/citronlane/control/replica_hooks.h
@@ -10,23 +10,24 @@
 
 namespace citronlane {
 
-/// What a Replica calls on its own thread, one call at a time.
+/// Hooks of a Replica. It calls them one at a time, on its own thread or within
+/// Replica::Start.
 struct ReplicaHooks {
-  /// Applies a committed command; returns the result for its proposer.
-  /// Deterministic: the same commands in the same order give the same results
-  /// on every node.
+  /// Applies a committed command and returns the result for its proposer. Must
+  /// be deterministic: the same commands in the same order give the same
+  /// results on every node.
   std::function<std::string(uint64_t index, std::string_view payload)> apply_;
-  /// A command entered this node's log, committed or not.
+  /// A command was appended to this node's log, committed or not.
   std::function<void(uint64_t index, std::string_view payload)> appended_;
   /// Log entries from `index` on were replaced by another leader's.
   std::function<void(uint64_t index)> truncated_;
-  /// Returns the whole applied state.
+  /// Returns the complete applied state.
   std::function<std::string()> take_snapshot_;
   /// Replaces the applied state.
   std::function<void(uint64_t index, std::string_view data)> install_snapshot_;
   /// The node's role or term changed.
   std::function<void(Role role, uint64_t term)> role_changed_;
-  /// Takes one line for the operators. May be empty, as all but the first.
+  /// Receives one log line. May be empty, as all hooks except `apply_`.
   std::function<void(std::string_view line)> log_;
 };
 
--- a/include/citronlane/control/replica_options.h
+++ b/include/citronlane/control/replica_options.h
@@ -11,26 +11,28 @@
 
 namespace citronlane {
 
-/// Where a Replica lives and how often it compacts its log.
+/// Settings of a Replica: addresses, data folder, and limits of its log.
 struct ReplicaOptions {
   RaftOptions raft_;
-  /// "IP:port" the replication service listens on.
+  /// "IP:port" on which the replication service listens.
   std::string listen_;
   /// Folder for log, snapshots and identity.
   std::string data_dir_;
   /// Voters of a new cluster, "IP:port" each; ignored once the disk belongs to
   /// a cluster. A node with an empty disk that is one of them waits until all
-  /// of them answer, and refuses to start anew in a cluster that already knows
-  /// its id. A node that is not one of them joins when a leader adds it.
+  /// of them reply, and fails when they already belong to a cluster that does
+  /// not know this disk. A node that is not one of them joins when a leader
+  /// adds it.
   std::map<uint64_t, std::string> initial_voters_;
-  /// Between control VMs; both sides show their certificate.
+  /// For connections between control VMs, with mutual authentication.
   TlsFiles tls_;
-  /// A file of the log is closed once it holds this much.
+  /// Size at which a segment file of the log is closed.
   uint64_t segment_bytes_ = 16 << 20;
-  /// Entries, and bytes of commands, applied between two snapshots at most.
+  /// Maximum number of entries, and bytes of commands, applied between two
+  /// snapshots.
   uint64_t snapshot_interval_ = 4096;
   uint64_t snapshot_bytes_ = 64 << 20;
-  /// Calls to the operating system; without hooks, the machine's own files.
+  /// File system calls; without hooks, those of the operating system.
   FileSystem files_;
 };
 
--- a/include/citronlane/control/replica_status.h
+++ b/include/citronlane/control/replica_status.h
@@ -9,24 +9,25 @@
 
 namespace citronlane {
 
-/// What a Replica knows of itself at one moment.
+/// State of a Replica at one moment.
 struct ReplicaStatus {
   uint64_t id_ = 0;
   Role role_ = Role::kFollower;
   uint64_t term_ = 0;
-  /// Known leader, or 0.
+  /// Id of the known leader, or 0.
   uint64_t leader_ = 0;
-  /// Whether a quorum answered within the leader lease.
+  /// Whether this node holds the leader lease: a quorum replied within it.
   bool leader_lease_ = false;
   uint64_t commit_index_ = 0;
   uint64_t applied_index_ = 0;
   uint64_t last_index_ = 0;
   Membership membership_;
-  /// Set when the disk failed and the node stopped voting.
+  /// Whether the node failed and stopped voting: its disk failed, the cluster
+  /// could not be formed, or the membership records another disk for its id.
   bool failed_ = false;
-  /// One line that says why.
+  /// Reason of the failure, on one line.
   std::string failure_;
-  /// Syncs of the log since the start.
+  /// Number of log syncs since the start.
   uint64_t sync_count_ = 0;
 };
 
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -189,7 +189,7 @@
         "platform_config_test.LargeConfigTest.test_1_changes_overtake_what_"
         "a_stopped_gateway_has_not_read",
         "unit-gateway-feed: changes come faster than a gateway's link carries "
-        "whole documents",
+        "full documents",
         "unit-config-reader: a document after others reads as it does by "
         "itself",
         "unit-serving: config register", "unit-relay: fleet view"]),
--- a/src/control/cluster_formation.cc
+++ b/src/control/cluster_formation.cc
@@ -11,25 +11,25 @@
     : own_id_(own_id),
       own_incarnation_(own_incarnation),
       others_(std::move(others)),
-      seen_({{own_id, own_incarnation}}) {
+      incarnations_({{own_id, own_incarnation}}) {
   FormIfConfirmed();
 }
 
-ClusterFormation::State ClusterFormation::Take(
+ClusterFormation::State ClusterFormation::HandleGreeting(
     uint64_t round,
     const ReplicationGreeting& greeting) {
   if (state_ != State::kWaiting || others_.count(greeting.node_) == 0) {
     return state_;
   }
   if (greeting.formed_) {
-    TakeFormed(greeting);
+    HandleFormed(greeting);
   } else {
-    TakeEmpty(round, greeting);
+    HandleEmpty(round, greeting);
   }
   return state_;
 }
 
-void ClusterFormation::TakeFormed(const ReplicationGreeting& greeting) {
+void ClusterFormation::HandleFormed(const ReplicationGreeting& greeting) {
   const auto own = greeting.incarnations_.find(own_id_);
   if (own == greeting.incarnations_.end() || own->second != own_incarnation_) {
     Refuse("node " + std::to_string(greeting.node_) +
@@ -41,30 +41,32 @@
   for (const uint64_t id : others_) {
     const auto it = greeting.incarnations_.find(id);
     if (it == greeting.incarnations_.end()) {
-      // The voters changed since: the leader's snapshot says what is in force.
+      // The voters changed since the formation; this node gets the membership
+      // in force from the leader.
       return;
     }
-    seen_[id] = it->second;
+    incarnations_[id] = it->second;
   }
   state_ = State::kFormed;
 }
 
-void ClusterFormation::TakeEmpty(uint64_t round,
-                                 const ReplicationGreeting& greeting) {
+void ClusterFormation::HandleEmpty(uint64_t round,
+                                   const ReplicationGreeting& greeting) {
   if (!HasSameVoters(greeting)) {
     Refuse("node " + std::to_string(greeting.node_) +
            " has other initial voters in its settings");
     return;
   }
   const auto [it, is_new] =
-      seen_.emplace(greeting.node_, greeting.incarnation_);
+      incarnations_.emplace(greeting.node_, greeting.incarnation_);
   if (is_new || it->second != greeting.incarnation_) {
     it->second = greeting.incarnation_;
-    complete_round_ = std::max(complete_round_, round);
+    last_incarnation_round_ = std::max(last_incarnation_round_, round);
     confirmed_.clear();
     return;
   }
-  if (seen_.size() == others_.size() + 1 && round > complete_round_) {
+  if (incarnations_.size() == others_.size() + 1 &&
+      round > last_incarnation_round_) {
     confirmed_.insert(greeting.node_);
   }
   FormIfConfirmed();
--- a/src/control/cluster_member.cc
+++ b/src/control/cluster_member.cc
@@ -19,18 +19,20 @@
 
 using wire::fleet::Frame;
 
-/// The slowest disk to be borne syncs in 150 ms; a leader on it still sends its
-/// heartbeats well within the election timeout. After a loss of power of all
-/// VMs a leader is there after one to two timeouts.
+/// The slowest supported disk syncs in 150 ms; a leader on it still sends its
+/// heartbeats well within the election timeout. After a power loss of all VMs a
+/// leader is elected within one to two timeouts.
 constexpr Duration kHeartbeat = std::chrono::milliseconds(80);
 constexpr Duration kElectionTimeout = std::chrono::milliseconds(450);
 constexpr Duration kLeaderLease = std::chrono::milliseconds(380);
-/// Log kept in memory behind a snapshot: peak memory has its price.
+/// Log kept in memory that a snapshot already covers; small, since control VMs
+/// have little memory.
 constexpr uint64_t kKeptEntries = 256;
 constexpr size_t kKeptBytes = size_t{2} << 20;
-/// Of the commands that this version puts into the log; see fleet.proto.
+/// Format of the commands that this version writes to the log; see log_format
+/// in fleet.proto.
 constexpr uint32_t kLogFormat = 1;
-/// A disk that failed is tried again after this long.
+/// Delay before a failed disk is opened again.
 constexpr Duration kReopenAfter = std::chrono::milliseconds(300);
 
 RaftOptions MakeRaftOptions(uint64_t id) {
@@ -95,7 +97,7 @@
     return;
   }
   if (is_joining_) {
-    AskToJoin(now);
+    RequestToJoin(now);
     return;
   }
   driver_->Tick(now);
@@ -109,8 +111,8 @@
   if (driver_->node().leader() != 0) {
     last_leader_ = now;
   }
-  TickLeading(now);
-  AskToJoin(now);
+  MaintainMembership(now);
+  RequestToJoin(now);
 }
 
 void ClusterMember::OpenDisk(TimePoint now) {
@@ -178,7 +180,7 @@
   channels_.clear();
 }
 
-// One line for the first failure; the disk may refuse for many seconds.
+// Logs only the first failure, since a disk may fail for many seconds.
 void ClusterMember::Reopen(const std::string& reason, TimePoint now) {
   if (!disk_failed_) {
     disk_failed_ = true;
@@ -207,7 +209,7 @@
 
 void ClusterMember::Propose(std::string command, Replica::ProposeDone done) {
   if (!driver_) {
-    done(std::nullopt, Error{"this VM is no member"});
+    done(std::nullopt, Error{"this VM is not a member of a cluster"});
     return;
   }
   driver_->Propose(SteadyNow(), std::move(command), std::move(done));
@@ -221,9 +223,9 @@
   driver_->Read(SteadyNow(), std::move(done));
 }
 
-void ClusterMember::HandOver() {
+void ClusterMember::TransferLeadership() {
   if (driver_) {
-    driver_->HandOver(SteadyNow());
+    driver_->TransferLeadership(SteadyNow());
   }
 }
 
@@ -287,11 +289,11 @@
     hooks.received_ = [this](Frame* frame) {
       const TimePoint now = SteadyNow();
       if (frame->has_greeting()) {
-        TakeGreeting(*frame, now);
+        HandleGreeting(*frame, now);
       } else if (frame->has_joined()) {
-        TakeJoinReply(*frame, now);
+        HandleJoinReply(*frame, now);
       } else if (frame->has_raft()) {
-        Take(nullptr, frame, now);
+        HandleFrame(nullptr, frame, now);
       }
     };
     link = std::make_unique<FrameLink>(io_, endpoint, std::move(hooks));
@@ -312,21 +314,22 @@
       return;
     }
   }
-  // A new learner knows nobody until its leader's log says more.
+  // A new learner has no membership until its leader's log arrives, and replies
+  // on the channel of the request.
   if (const auto channel = channels_[to].lock()) {
     channel->Send(frame);
   }
 }
 
-bool ClusterMember::Take(const std::shared_ptr<FrameChannel>& channel,
-                         Frame* frame,
-                         TimePoint now) {
+bool ClusterMember::HandleFrame(const std::shared_ptr<FrameChannel>& channel,
+                                Frame* frame,
+                                TimePoint now) {
   if (frame->has_greet()) {
-    AnswerGreeting(channel.get(), frame->greet().round());
+    ReplyToGreeting(channel.get(), frame->greet().round());
     return true;
   }
   if (frame->has_join()) {
-    AnswerJoin(channel.get(), *frame);
+    ReplyToJoin(channel.get(), *frame);
     return true;
   }
   if (!frame->has_raft()) {
@@ -340,7 +343,7 @@
     channels_[message->from_] = channel;
   }
   log_formats_[message->from_] = frame->log_format();
-  keeper_.Heard(message->from_, now);
+  keeper_.RecordContact(message->from_, now);
   driver_->Step(now, *message);
   return true;
 }
--- a/src/control/cluster_member_join.cc
+++ b/src/control/cluster_member_join.cc
@@ -18,12 +18,12 @@
 using wire::fleet::Frame;
 using wire::fleet::JoinReply;
 
-/// An empty disk has to hold everything again within a few seconds; asking is
-/// cheap.
-constexpr Duration kAskInterval = std::chrono::milliseconds(100);
-/// A member that hears of no leader for several elections may have been removed
-/// while it was away.
-constexpr Duration kLostLeader = std::chrono::milliseconds(2000);
+/// Short, since a VM with an empty disk must be repaired within a few seconds
+/// and a request is cheap.
+constexpr Duration kRequestInterval = std::chrono::milliseconds(100);
+/// A member without a known leader for several election timeouts may have been
+/// removed while it was disconnected.
+constexpr Duration kLeaderLostTimeout = std::chrono::milliseconds(2000);
 
 }  // namespace
 
@@ -46,7 +46,7 @@
 void ClusterMember::TickForming(TimePoint now) {
   using State = ClusterFormation::State;
   if (formation_->state() == State::kRefused) {
-    log_->Write("member", "forming refused",
+    log_->Write("member", "cluster formation refused",
                 {{"reason", formation_->refusal()}});
     LeaveCluster(now);
     return;
@@ -61,10 +61,10 @@
     }
     return;
   }
-  if (now < next_ask_) {
+  if (now < next_request_at_) {
     return;
   }
-  next_ask_ = now + kAskInterval;
+  next_request_at_ = now + kRequestInterval;
   Frame frame;
   frame.mutable_greet()->set_round(++round_);
   for (const auto& [id, endpoint] : founders_) {
@@ -74,8 +74,8 @@
   }
 }
 
-void ClusterMember::AnswerGreeting(FrameChannel* channel,
-                                   uint64_t round) const {
+void ClusterMember::ReplyToGreeting(FrameChannel* channel,
+                                    uint64_t round) const {
   if (!driver_) {
     return;
   }
@@ -97,7 +97,7 @@
   channel->Send(frame);
 }
 
-void ClusterMember::TakeGreeting(const Frame& frame, TimePoint /*now*/) {
+void ClusterMember::HandleGreeting(const Frame& frame, TimePoint /*now*/) {
   if (!formation_) {
     return;
   }
@@ -108,7 +108,7 @@
   greeting.formed_ = reply.formed();
   greeting.incarnations_.insert(reply.incarnations().begin(),
                                 reply.incarnations().end());
-  formation_->Take(reply.round(), greeting);
+  formation_->HandleGreeting(reply.round(), greeting);
 }
 
 void ClusterMember::StartJoining() {
@@ -117,14 +117,15 @@
   log_->Write("member", "joining", {{"nonce", nonce_}});
 }
 
-// Asks the leader to be taken in; a member asks only when it has lost the
-// leader, to learn whether it was removed meanwhile.
-void ClusterMember::AskToJoin(TimePoint now) {
-  const bool lost_leader = !is_joining_ && now - last_leader_ >= kLostLeader;
-  if ((!is_joining_ && !lost_leader) || now < next_ask_) {
+// Sends a join request to the leader, or to the known VMs in turn. A member
+// sends one only when it has lost the leader, to learn whether it was removed.
+void ClusterMember::RequestToJoin(TimePoint now) {
+  const bool lost_leader =
+      !is_joining_ && now - last_leader_ >= kLeaderLostTimeout;
+  if ((!is_joining_ && !lost_leader) || now < next_request_at_) {
     return;
   }
-  next_ask_ = now + kAskInterval;
+  next_request_at_ = now + kRequestInterval;
   std::vector<std::string> candidates = members();
   candidates.insert(candidates.end(), seeds_.begin(), seeds_.end());
   std::string candidate = std::exchange(leader_hint_, std::string());
@@ -142,14 +143,14 @@
   LinkTo(candidate)->Send(frame);
 }
 
-void ClusterMember::AnswerJoin(FrameChannel* channel, const Frame& frame) {
+void ClusterMember::ReplyToJoin(FrameChannel* channel, const Frame& frame) {
   const auto& join = frame.join();
   Frame answer;
   JoinReply* reply = answer.mutable_joined();
   reply->set_leader(leader());
   if (Leads(SteadyNow())) {
     const RaftNode& node = driver_->node();
-    // Only what is committed counts: a change that is not may still be undone.
+    // Only the committed membership counts: a later change may still be undone.
     const Membership& members = node.membership_at(node.commit_index());
     if (join.node() != 0) {
       const bool is_in = members.voters_.count(join.node()) != 0 ||
@@ -169,13 +170,13 @@
           }
         }
       }
-      keeper_.Wish(join.endpoint(), join.nonce());
+      keeper_.AddJoinRequest(join.endpoint(), join.nonce());
     }
   }
   channel->Send(answer);
 }
 
-void ClusterMember::TakeJoinReply(const Frame& frame, TimePoint now) {
+void ClusterMember::HandleJoinReply(const Frame& frame, TimePoint now) {
   const JoinReply& reply = frame.joined();
   if (reply.state() == JoinReply::STATE_UNKNOWN) {
     leader_hint_ = reply.leader();
@@ -207,7 +208,8 @@
   log_->Write("member", "joined", {{"id", reply.node()}});
 }
 
-// What this disk holds belongs to a node that is no member any more.
+// Deletes the disk's contents, which belong to a node that is no longer a
+// member, and joins again.
 void ClusterMember::LeaveCluster(TimePoint now) {
   CloseDriver();
   Error error;
--- a/src/control/cluster_member_lead.cc
+++ b/src/control/cluster_member_lead.cc
@@ -11,8 +11,9 @@
 namespace citronlane {
 namespace {
 
-/// Half a heartbeat: the answers to the next one may confirm the read.
-constexpr auto kReadAgain = std::chrono::milliseconds(40);
+/// Half a heartbeat interval: replies to the next heartbeat may confirm the
+/// read.
+constexpr auto kReadRetryInterval = std::chrono::milliseconds(40);
 
 }  // namespace
 
@@ -31,13 +32,13 @@
     return;
   }
   keeper_.StartLeading(driver_->node().membership(), SteadyNow());
-  // Not from within the driver, which is at work.
-  boost::asio::post(*io_, [this, term] { ConfirmLead(term); });
+  // Posted, since the driver that calls this must not be re-entered.
+  boost::asio::post(*io_, [this, term] { ConfirmLeadership(term); });
 }
 
-// A new leader may lag behind what was committed before its election: it serves
-// once a quorum read has gone through.
-void ClusterMember::ConfirmLead(uint64_t term) {
+// A new leader may not have applied everything committed before its election,
+// so it serves only once a linearizable read has succeeded.
+void ClusterMember::ConfirmLeadership(uint64_t term) {
   if (!driver_ || !driver_->is_formed() || !driver_->failure().empty() ||
       driver_->node().role() != Role::kLeader ||
       driver_->node().term() != term || leads_) {
@@ -52,9 +53,9 @@
       return;
     }
     const auto timer =
-        std::make_shared<boost::asio::steady_timer>(*io_, kReadAgain);
+        std::make_shared<boost::asio::steady_timer>(*io_, kReadRetryInterval);
     timer->async_wait([this, term, timer](const boost::system::error_code&) {
-      ConfirmLead(term);
+      ConfirmLeadership(term);
     });
   });
 }
@@ -66,7 +67,7 @@
   }
 }
 
-void ClusterMember::TickLeading(TimePoint now) {
+void ClusterMember::MaintainMembership(TimePoint now) {
   if (!Leads(now)) {
     return;
   }
--- a/src/control/command_proposer.cc
+++ b/src/control/command_proposer.cc
@@ -57,7 +57,7 @@
              if (!bytes) {
                done(std::nullopt, error);
              } else if (!result.ParseFromString(*bytes)) {
-               done(std::nullopt, Error{"The result can't be read."});
+               done(std::nullopt, Error{"The result can not be parsed."});
              } else {
                done(std::move(result), Error());
              }
@@ -79,7 +79,7 @@
     promise->set_value({std::move(result), reason});
   });
   if (future.wait_for(limit) != std::future_status::ready) {
-    error->message_ = "No quorum answered in time.";
+    error->message_ = "No quorum committed the command in time.";
     return std::nullopt;
   }
   Answer answer = future.get();
--- a/src/control/config_routes.cc
+++ b/src/control/config_routes.cc
@@ -17,7 +17,8 @@
 
 using Need = ObjectReader::Need;
 
-constexpr Duration kCommitLimit = std::chrono::seconds(3);
+constexpr Duration kCommitTimeout = std::chrono::seconds(3);
+/// Integers up to here are exact as JSON numbers.
 constexpr uint64_t kMaxVersion = uint64_t{1} << 53;
 constexpr size_t kMaxReasonBytes = 4096;
 
@@ -49,8 +50,9 @@
   }
 }
 
-// Takes the patch or the document out of the body, so that the reader of the
-// rest need not know what is in it.
+// Moves the patch or the document from the body to `change`, so that it is not
+// validated as a field of the request. Returns false unless the body has
+// exactly one of them, as an object.
 bool TakeContent(JsonValue* body, wire::ConfigChange* change) {
   const JsonValue* patch = body->Find("patch");
   const JsonValue* document = body->Find("document");
@@ -163,7 +165,7 @@
 }
 
 AdminResponse ConfigRoutes::Change(const AdminRequest& request,
-                                   const std::string& who) const {
+                                   const std::string& operator_name) const {
   Fault fault;
   std::optional<JsonValue> body = ParseJson(request.body_, &fault);
   if (!body) {
@@ -182,12 +184,12 @@
   if (!faults.empty()) {
     return BadBody(faults);
   }
-  change.set_operator_name(who);
+  change.set_operator_name(operator_name);
   return Commit(std::move(change));
 }
 
 AdminResponse ConfigRoutes::Rollback(const AdminRequest& request,
-                                     const std::string& who) const {
+                                     const std::string& operator_name) const {
   Fault fault;
   const std::optional<JsonValue> body = ParseJson(request.body_, &fault);
   if (!body) {
@@ -206,7 +208,7 @@
   if (!faults.empty()) {
     return BadBody(faults);
   }
-  change.set_operator_name(who);
+  change.set_operator_name(operator_name);
   return Commit(std::move(change));
 }
 
@@ -233,7 +235,7 @@
   *command.mutable_change() = std::move(change);
   Error error;
   const std::optional<wire::StateResult> result =
-      context_.proposer_->ProposeAndWait(std::move(command), kCommitLimit,
+      context_.proposer_->ProposeAndWait(std::move(command), kCommitTimeout,
                                          &error);
   if (!result) {
     return UnavailableReply(
@@ -290,7 +292,8 @@
   std::vector<Fault> faults;
   ParseClusterConfig(*document, version, &faults);
   for (Fault& fault : faults) {
-    fault.line_ = 0;  // Of the stored document, which nobody sees.
+    // Lines refer to the canonical document, which differs from the one sent.
+    fault.line_ = 0;
   }
   return faults;
 }
@@ -298,7 +301,7 @@
 JsonValue ConfigRoutes::Gateways() const {
   const TimePoint now = SteadyNow();
   const uint64_t unix_ms = context_.unix_ms_();
-  const auto sightings = context_.state_->sightings();
+  const auto observations = context_.state_->observations();
   std::vector<wire::GatewayId> registered;
   context_.state_->View([&](const StateMachine& state) {
     for (const auto& entry : state.gateways().gateways()) {
@@ -311,15 +314,17 @@
     item.Set("name", JsonValue::String(gateway.name()));
     item.Set("incarnation", JsonNumber(gateway.incarnation()));
     item.Set("failure_domain", JsonValue::String(gateway.failure_domain()));
-    const auto found = sightings.find(gateway.name());
-    const bool seen = found != sightings.end() &&
-                      found->second.incarnation_ == gateway.incarnation();
-    item.Set("version", JsonNumber(seen ? found->second.version_ : 0));
-    if (seen) {
+    const auto found = observations.find(gateway.name());
+    const bool has_contact =
+        found != observations.end() &&
+        found->second.incarnation_ == gateway.incarnation();
+    item.Set("version", JsonNumber(has_contact ? found->second.version_ : 0));
+    if (has_contact) {
       item.Set("since_ms",
                JsonNumber(unix_ms - ToMs(now - found->second.since_)));
-      item.Set("lease_ms", JsonNumber(ToMs(context_.options_->config_lease_ -
-                                           (now - found->second.seen_))));
+      item.Set("lease_ms",
+               JsonNumber(ToMs(context_.options_->config_lease_ -
+                               (now - found->second.last_contact_))));
     }
     list.Append(std::move(item));
   }
--- a/src/control/control_admin.cc
+++ b/src/control/control_admin.cc
@@ -15,13 +15,14 @@
 namespace citronlane {
 namespace {
 
-constexpr Duration kReadLimit = std::chrono::seconds(2);
+constexpr Duration kReadConfirmTimeout = std::chrono::seconds(2);
 constexpr Duration kLeaderWait = std::chrono::seconds(1);
 constexpr Duration kLeaderPoll = std::chrono::milliseconds(20);
 constexpr std::string_view kBearer = "Bearer ";
 constexpr std::string_view kWildcard = "*";
 
-// Whether the path has the pattern's form; gives the part at '*'.
+// Returns whether the path matches the pattern; sets `argument` to the segment
+// at '*'.
 bool Matches(std::string_view pattern,
              std::string_view path,
              std::string* argument) {
@@ -73,59 +74,60 @@
 void ControlAdmin::AddRoutes() {
   using Request = AdminRequest;
   using Text = std::string;
-  const auto add = [this](const char* method, const char* path, Where where,
+  const auto add = [this](const char* method, const char* path, Target target,
                           Run run) {
-    routes_.push_back({method, path, where, std::move(run)});
+    routes_.push_back({method, path, target, std::move(run)});
   };
-  add("GET", "/v1/config", Where::kLeader,
+  add("GET", "/v1/config", Target::kLeader,
       [this](const Request& request, const Text&, const Text&) {
         return config_.Get(request);
       });
-  add("GET", "/v1/config/history", Where::kLeader,
+  add("GET", "/v1/config/history", Target::kLeader,
       [this](const Request&, const Text&, const Text&) {
         return config_.History();
       });
-  add("GET", "/v1/config/status", Where::kLeader,
+  add("GET", "/v1/config/status", Target::kLeader,
       [this](const Request& request, const Text&, const Text&) {
         return config_.Status(request);
       });
-  add("POST", "/v1/config/changes", Where::kLeader,
-      [this](const Request& request, const Text&, const Text& who) {
-        return config_.Change(request, who);
+  add("POST", "/v1/config/changes", Target::kLeader,
+      [this](const Request& request, const Text&, const Text& operator_name) {
+        return config_.Change(request, operator_name);
       });
-  add("POST", "/v1/config/rollback", Where::kLeader,
-      [this](const Request& request, const Text&, const Text& who) {
-        return config_.Rollback(request, who);
+  add("POST", "/v1/config/rollback", Target::kLeader,
+      [this](const Request& request, const Text&, const Text& operator_name) {
+        return config_.Rollback(request, operator_name);
       });
-  add("GET", "/v1/refusals/*", Where::kLeader,
+  add("GET", "/v1/refusals/*", Target::kLeader,
       [this](const Request&, const Text& id, const Text&) {
         return fleet_.Refusal(id);
       });
-  add("GET", "/v1/members", Where::kLeader,
+  add("GET", "/v1/members", Target::kLeader,
       [this](const Request&, const Text&, const Text&) {
         return fleet_.Members();
       });
-  add("POST", "/v1/members", Where::kLeader,
+  add("POST", "/v1/members", Target::kLeader,
       [this](const Request& request, const Text&, const Text&) {
         return fleet_.ChangeMembers(request);
       });
-  add("GET", "/v1/servers", Where::kLeader,
+  add("GET", "/v1/servers", Target::kLeader,
       [this](const Request&, const Text&, const Text&) {
         return fleet_.Servers();
       });
-  add("POST", "/v1/servers/*/drain", Where::kLeader,
+  add("POST", "/v1/servers/*/drain", Target::kLeader,
       [this](const Request&, const Text& server, const Text&) {
         return fleet_.Drain(server);
       });
-  add("GET", "/v1/orders", Where::kLeader,
+  add("GET", "/v1/orders", Target::kLeader,
       [this](const Request&, const Text&, const Text&) {
         return fleet_.Orders();
       });
-  add("POST", "/v1/servers/*/orders", Where::kLeader,
-      [this](const Request& request, const Text& server, const Text& who) {
-        return fleet_.SubmitOrder(server, request, who);
+  add("POST", "/v1/servers/*/orders", Target::kLeader,
+      [this](const Request& request, const Text& server,
+             const Text& operator_name) {
+        return fleet_.SubmitOrder(server, request, operator_name);
       });
-  add("GET", "/v1/status", Where::kHere,
+  add("GET", "/v1/status", Target::kAnyNode,
       [this](const Request&, const Text&, const Text&) {
         return fleet_.Status();
       });
@@ -134,11 +136,11 @@
 AdminResponse ControlAdmin::RunRoute(const Route& route,
                                      const AdminRequest& request,
                                      const std::string& argument) const {
-  const OperatorKey* who = OperatorOf(request);
-  if (who == nullptr) {
+  const OperatorKey* operator_key = OperatorOf(request);
+  if (operator_key == nullptr) {
     return ProblemReply(AdminStatus::kUnauthorized, "");
   }
-  if (route.method_ != "GET" && who->role_ != OperatorRole::kChange) {
+  if (route.method_ != "GET" && operator_key->role_ != OperatorRole::kChange) {
     return ProblemReply(AdminStatus::kForbidden, "");
   }
   if (request.is_cut_) {
@@ -147,20 +149,20 @@
   if (context_.state_->is_broken()) {
     return UnavailableReply("The state of this VM is damaged.");
   }
-  if (route.where_ == Where::kHere) {
-    return route.run_(request, argument, who->operator_);
+  if (route.target_ == Target::kAnyNode) {
+    return route.run_(request, argument, operator_key->operator_);
   }
-  // An election takes less than this; the operator need not see it.
+  // Waits out an election, which takes less than this.
   const TimePoint until = SteadyNow() + kLeaderWait;
-  while (!ConfirmLead()) {
-    AdminResponse pointer = PointToLeader(request);
-    const bool found = !pointer.location_.empty();
+  while (!ConfirmLeadership()) {
+    AdminResponse redirect = RedirectToLeader(request);
+    const bool found = !redirect.location_.empty();
     if (found || SteadyNow() >= until) {
-      return pointer;
+      return redirect;
     }
     std::this_thread::sleep_for(kLeaderPoll);
   }
-  return route.run_(request, argument, who->operator_);
+  return route.run_(request, argument, operator_key->operator_);
 }
 
 const OperatorKey* ControlAdmin::OperatorOf(const AdminRequest& request) const {
@@ -168,7 +170,7 @@
   if (header.substr(0, kBearer.size()) != kBearer) {
     return nullptr;
   }
-  // Digests are compared, so the time taken says nothing of the key.
+  // Digests are compared, so that the time taken does not depend on the key.
   const std::string digest = Sha256Hex(header.substr(kBearer.size()));
   for (const OperatorKey& key : context_.options_->operators_) {
     if (key.digest_ == digest) {
@@ -178,7 +180,8 @@
   return nullptr;
 }
 
-AdminResponse ControlAdmin::PointToLeader(const AdminRequest& request) const {
+AdminResponse ControlAdmin::RedirectToLeader(
+    const AdminRequest& request) const {
   const ReplicaStatus status = context_.status_();
   std::string address;
   context_.state_->View([&](const StateMachine& state) {
@@ -205,15 +208,15 @@
   return response;
 }
 
-// Whether this node leads and a quorum says so now.
-bool ControlAdmin::ConfirmLead() const {
+// Returns whether this node leads, confirmed by a quorum.
+bool ControlAdmin::ConfirmLeadership() const {
   if (!context_.proposer_->leads()) {
     return false;
   }
   const auto promise = std::make_shared<std::promise<bool>>();
   std::future<bool> future = promise->get_future();
   context_.read_([promise](bool confirmed) { promise->set_value(confirmed); });
-  return future.wait_for(kReadLimit) == std::future_status::ready &&
+  return future.wait_for(kReadConfirmTimeout) == std::future_status::ready &&
          future.get();
 }
 
--- a/src/control/control_calls.cc
+++ b/src/control/control_calls.cc
@@ -10,6 +10,7 @@
 namespace citronlane {
 namespace {
 
+/// ClassSpend.rate is in requests per 1000 s.
 constexpr double kRateScale = 1000;
 
 uint64_t ToWhole(double value) {
@@ -142,7 +143,7 @@
 
 void ControlCalls::Report(const wire::ReportRequest& request,
                           Done<wire::ReportReply> done) {
-  ProposeLeaving(request);
+  ProposeLeavingServers(request);
   wire::StateCommand command;
   wire::ReportCommand* report = command.mutable_report();
   *report->mutable_gateway() = request.gateway();
@@ -186,20 +187,21 @@
   }
 }
 
-// What a gateway sees leaving is told to the others at once.
-void ControlCalls::ProposeLeaving(const wire::ReportRequest& request) {
+// Commits the backend servers that a gateway reports as leaving, so that the
+// other gateways are notified at once.
+void ControlCalls::ProposeLeavingServers(const wire::ReportRequest& request) {
   wire::StateCommand command;
   state_->View([&](const StateMachine& state) {
-    for (const wire::LeavingServer& seen : request.leaving()) {
-      const auto known = state.servers().states().find(seen.server());
-      const ServerState leaving{seen.incarnation(), true};
+    for (const wire::LeavingServer& reported : request.leaving()) {
+      const auto known = state.servers().states().find(reported.server());
+      const ServerState leaving{reported.incarnation(), true};
       if (known != state.servers().states().end() &&
           ServerStates::Combine(known->second, leaving) == known->second) {
         continue;
       }
       wire::ServerRecord* record = command.mutable_servers()->add_servers();
-      record->set_server(seen.server());
-      record->set_incarnation(seen.incarnation());
+      record->set_server(reported.server());
+      record->set_incarnation(reported.incarnation());
       record->set_leaving(true);
     }
   });
--- a/src/control/control_host.cc
+++ b/src/control/control_host.cc
@@ -40,17 +40,18 @@
 
 using wire::fleet::Frame;
 
-/// Half a heartbeat of the consensus.
+/// Half a heartbeat interval of the consensus.
 constexpr Duration kTick = std::chrono::milliseconds(40);
 constexpr Duration kFeedInterval = std::chrono::milliseconds(200);
-/// A leaving server must be known within seconds, and each call has its price.
-constexpr Duration kListInterval = std::chrono::milliseconds(500);
-/// The file may change without a signal; reading it is cheap.
+/// A leaving server must be noticed within seconds, and each call costs the
+/// platform.
+constexpr Duration kServerListInterval = std::chrono::milliseconds(500);
+/// The settings file may change without a signal; reading it is cheap.
 constexpr Duration kSettingsInterval = std::chrono::seconds(2);
-/// From the stop signal to the end: enough for a hand-over of the lead and for
-/// operators' calls in hand.
-constexpr auto kStopTime = std::chrono::milliseconds(600);
-/// Largest document that an operator may send.
+/// From the stop signal to the end: enough for a leadership transfer and for
+/// operators' calls in progress.
+constexpr auto kShutdownDelay = std::chrono::milliseconds(600);
+/// Maximum size of a document that an operator may send.
 constexpr uint64_t kDocumentBytes = uint64_t{8} << 20;
 constexpr size_t kOperatorConnections = 512;
 
@@ -87,8 +88,8 @@
   void Propose(std::string command, ConfigProposer::Done done);
   GatewayFeed::Leadership Leadership() const;
   const std::vector<PooledService>& PooledServices();
-  void Take(const std::shared_ptr<FrameChannel>& channel, Frame* frame);
-  void LeadsChanged(bool leads);
+  void HandleFrame(const std::shared_ptr<FrameChannel>& channel, Frame* frame);
+  void OnLeadsChanged(bool leads);
   void ReadServers(TimePoint now);
   void Reload();
   void Stop();
@@ -110,7 +111,7 @@
   HttpListener operators_;
   bool list_failing_ = false;
   std::vector<PooledService> pooled_services_;
-  std::optional<uint64_t> placed_version_;
+  std::optional<uint64_t> pooled_services_version_;
 };
 
 ControlHost::Impl::Impl(NodeSettings settings,
@@ -128,21 +129,23 @@
           log,
           [this] { return Leadership(); },
           [this] { return PooledServices(); }),
-      member_(&io_,
-              settings_,
-              &state_,
-              log,
-              ClusterMember::Hooks{[this](bool leads) { LeadsChanged(leads); },
-                                   [this] { feed_.PushAll(SteadyNow()); }}),
+      member_(
+          &io_,
+          settings_,
+          &state_,
+          log,
+          ClusterMember::Hooks{[this](bool leads) { OnLeadsChanged(leads); },
+                               [this] { feed_.PushAll(SteadyNow()); }}),
       proposer_(&state_.config(), ProposerHooks()),
       api_(&io_, dialect, &state_, log, ApiHooks()),
-      internal_(
-          &io_,
-          settings_.internal_listen_,
-          FrameListener::Hooks{
-              [this](const std::shared_ptr<FrameChannel>& channel,
-                     Frame* frame) { Take(channel, frame); },
-              [this](const FrameChannel* channel) { feed_.Closed(channel); }}),
+      internal_(&io_,
+                settings_.internal_listen_,
+                FrameListener::Hooks{
+                    [this](const std::shared_ptr<FrameChannel>& channel,
+                           Frame* frame) { HandleFrame(channel, frame); },
+                    [this](const FrameChannel* channel) {
+                      feed_.OnClosed(channel);
+                    }}),
       operators_(
           {&io_},
           OperatorLimits(),
@@ -152,7 +155,7 @@
                      HttpExchange* exchange) { api_.Serve(request, exchange); },
               RefuseUnreadable,
               [log](const HttpRequest& request, std::string_view what) {
-                log->Write("control", "answer not sent",
+                log->Write("control", "response not sent",
                            {{"target", request.target_}, {"why", what}});
               }}) {}
 
@@ -175,7 +178,7 @@
                             [this](TimePoint now) { member_.Tick(now); });
   const RepeatingTimer feed(&io_, kFeedInterval,
                             [this](TimePoint now) { feed_.PushAll(now); });
-  const RepeatingTimer list(&io_, kListInterval,
+  const RepeatingTimer list(&io_, kServerListInterval,
                             [this](TimePoint now) { ReadServers(now); });
   const RepeatingTimer reload(&io_, kSettingsInterval,
                               [this](TimePoint) { Reload(); });
@@ -193,7 +196,7 @@
   if (leader.empty() || leader == settings_.internal_listen_) {
     return {};
   }
-  // All nodes have the same ports.
+  // All nodes use the same ports.
   const std::string& own = settings_.operator_listen_;
   return leader.substr(0, leader.rfind(':')) + own.substr(own.rfind(':'));
 }
@@ -222,7 +225,7 @@
     return feed_.IsHeldByAll(version, SteadyNow());
   };
   hooks.metrics_ = [this] {
-    return FeedMetricsText(member_.Leads(SteadyNow()), feed_.Spread());
+    return FeedMetricsText(member_.Leads(SteadyNow()), feed_.Propagation());
   };
   return hooks;
 }
@@ -244,7 +247,7 @@
       std::move(command),
       [this, done = std::move(done)](const std::optional<std::string>& result,
                                      const Error& error) {
-        // Not from within the log, which is at work.
+        // Posted, since the log that calls this must not be re-entered.
         boost::asio::post(
             io_, [done, is_committed = result.has_value(),
                   reason = error.message_] { done(is_committed, reason); });
@@ -260,17 +263,17 @@
   return leadership;
 }
 
-// Documents are read once a version: large ones take milliseconds.
+// Documents are parsed once per version: large ones take milliseconds.
 const std::vector<PooledService>& ControlHost::Impl::PooledServices() {
   const ConfigRegister& held = state_.config();
-  if (held.is_empty() || placed_version_ == held.version()) {
+  if (held.is_empty() || pooled_services_version_ == held.version()) {
     return pooled_services_;
   }
-  placed_version_ = held.version();
+  pooled_services_version_ = held.version();
   std::vector<std::string> faults;
   const auto config = dialect_->read_config_(held.document(), &faults);
   if (!config) {
-    log_->Write("control", "config not readable",
+    log_->Write("control", "config invalid",
                 {{"version", held.version()},
                  {"faults", static_cast<uint64_t>(faults.size())}});
     return pooled_services_;
@@ -279,19 +282,20 @@
   return pooled_services_;
 }
 
-void ControlHost::Impl::Take(const std::shared_ptr<FrameChannel>& channel,
-                             Frame* frame) {
+void ControlHost::Impl::HandleFrame(
+    const std::shared_ptr<FrameChannel>& channel,
+    Frame* frame) {
   const TimePoint now = SteadyNow();
   if (frame->has_watch()) {
     feed_.Watch(channel, frame->watch(), now);
   } else if (frame->has_config_held()) {
     feed_.ConfirmConfig(channel.get(), frame->config_held(), now);
   } else {
-    member_.Take(channel, frame, now);
+    member_.HandleFrame(channel, frame, now);
   }
 }
 
-void ControlHost::Impl::LeadsChanged(bool leads) {
+void ControlHost::Impl::OnLeadsChanged(bool leads) {
   const TimePoint now = SteadyNow();
   if (leads) {
     feed_.StartLeading(now);
@@ -327,9 +331,9 @@
 void ControlHost::Impl::Stop() {
   log_->Write("control", "stopping", {});
   operators_.CloseAfterReplies();
-  member_.HandOver();
+  member_.TransferLeadership();
   const auto timer =
-      std::make_shared<boost::asio::steady_timer>(io_, kStopTime);
+      std::make_shared<boost::asio::steady_timer>(io_, kShutdownDelay);
   timer->async_wait(
       [this, timer](const boost::system::error_code&) { io_.stop(); });
 }
--- a/src/control/control_leader.cc
+++ b/src/control/control_leader.cc
@@ -47,7 +47,7 @@
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     term_ = role == Role::kLeader ? term : 0;
-    taking_lead_ = false;
+    acquiring_fencing_number_ = false;
     fencing_number_ = 0;
   }
   proposer_->OnLeadLost();
@@ -64,12 +64,13 @@
   std::unique_lock<std::mutex> lock(mutex_);
   while (!thread_.is_stopping()) {
     const uint64_t term = term_;
-    const bool must_take = term != 0 && fencing_number_ == 0 && !taking_lead_;
-    taking_lead_ = taking_lead_ || must_take;
+    const bool must_acquire =
+        term != 0 && fencing_number_ == 0 && !acquiring_fencing_number_;
+    acquiring_fencing_number_ = acquiring_fencing_number_ || must_acquire;
     const bool leads = fencing_number_ != 0;
     lock.unlock();
-    if (must_take) {
-      TakeLead(term);
+    if (must_acquire) {
+      AcquireFencingNumber(term);
     } else if (leads) {
       Work();
     }
@@ -79,13 +80,14 @@
 }
 
 void ControlLeader::Work() {
-  KeepPeers();
-  ForgetSilentGateways();
+  RegisterMissingPeers();
+  RemoveSilentGateways();
   orders_->Work();
 }
 
-// The first command of a term: once it is applied, so is everything before.
-void ControlLeader::TakeLead(uint64_t term) {
+// Proposes the first command of a term. Once it is applied, so is everything
+// from before the term.
+void ControlLeader::AcquireFencingNumber(uint64_t term) {
   wire::StateCommand command;
   command.mutable_take_lead()->set_node(options_.replica_.raft_.id_);
   command.mutable_take_lead()->set_term(term);
@@ -99,20 +101,21 @@
         if (term_ != term) {
           return;
         }
-        taking_lead_ = false;
+        acquiring_fencing_number_ = false;
         if (result && result->fencing_number() != 0) {
-          lead_since_ = SteadyNow();
+          leading_since_ = SteadyNow();
           fencing_number_ = result->fencing_number();
-          orders_->OnLead(fencing_number_, lead_since_);
-          proposer_->OnLead(time_ms, lead_since_);
+          orders_->OnLead(fencing_number_, leading_since_);
+          proposer_->OnLead(time_ms, leading_since_);
           log_("This node leads with fencing number " +
                std::to_string(result->fencing_number()) + ".");
         }
       });
 }
 
-// Addresses from the settings, for members that the state does not know.
-void ControlLeader::KeepPeers() {
+// Registers the addresses in the settings of members that the replicated state
+// does not have.
+void ControlLeader::RegisterMissingPeers() {
   std::vector<wire::PeerRecord> missing;
   state_->View([&](const StateMachine& state) {
     for (const auto& [node, peer] : options_.peers_) {
@@ -133,22 +136,23 @@
   }
 }
 
-void ControlLeader::ForgetSilentGateways() {
+void ControlLeader::RemoveSilentGateways() {
   const TimePoint now = SteadyNow();
   TimePoint since;
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    since = lead_since_;
+    since = leading_since_;
   }
-  const auto sightings = state_->sightings();
+  const auto observations = state_->observations();
   std::vector<wire::ForgetGateway> silent;
   state_->View([&](const StateMachine& state) {
     for (const auto& [name, gateway] : state.gateways().gateways()) {
-      const auto found = sightings.find(name);
-      const bool seen = found != sightings.end() &&
-                        found->second.incarnation_ == gateway.incarnation();
+      const auto found = observations.find(name);
+      const bool has_contact =
+          found != observations.end() &&
+          found->second.incarnation_ == gateway.incarnation();
       const TimePoint last =
-          seen ? std::max(found->second.seen_, since) : since;
+          has_contact ? std::max(found->second.last_contact_, since) : since;
       if (now - last > options_.gateway_timeout_) {
         wire::ForgetGateway forget;
         forget.set_name(name);
@@ -159,7 +163,8 @@
     }
   });
   for (const wire::ForgetGateway& forget : silent) {
-    log_("Gateway " + forget.name() + " is silent and is forgotten.");
+    log_("Gateway " + forget.name() +
+         " renewed no lease in time and is removed from the registry.");
     wire::StateCommand command;
     *command.mutable_forget_gateway() = forget;
     Error error;
--- a/src/control/control_metrics.cc
+++ b/src/control/control_metrics.cc
@@ -9,11 +9,11 @@
 namespace citronlane {
 namespace {
 
-void Add(std::string_view name,
-         std::string_view type,
-         std::string_view help,
-         uint64_t value,
-         std::string* text) {
+void AppendMetric(std::string_view name,
+                  std::string_view type,
+                  std::string_view help,
+                  uint64_t value,
+                  std::string* text) {
   const std::string full = "citronlane_control_" + std::string(name);
   *text += "# HELP " + full + " " + std::string(help) + "\n# TYPE " + full +
            " " + std::string(type) + "\n" + full + " " + std::to_string(value) +
@@ -25,53 +25,56 @@
 std::string ControlMetricsText(const ReplicaStatus& status,
                                ControlState& state) {
   std::string text;
-  Add("leads", "gauge", "1 on the leader with its lease, else 0.",
-      status.role_ == Role::kLeader && status.leader_lease_ ? 1 : 0, &text);
-  Add("failed", "gauge", "1 when the disk can not be trusted, else 0.",
-      status.failed_ || state.is_broken() ? 1 : 0, &text);
-  Add("term", "gauge", "Term of the replicated log.", status.term_, &text);
-  Add("commit_index", "gauge", "Newest committed entry known here.",
-      status.commit_index_, &text);
-  Add("syncs_total", "counter", "Syncs of the log since the start.",
-      status.sync_count_, &text);
-  Add("watchers", "gauge", "Gateways that watch here.", state.feed().watchers(),
-      &text);
+  AppendMetric("leads", "gauge", "1 on the leader with its lease, else 0.",
+               status.role_ == Role::kLeader && status.leader_lease_ ? 1 : 0,
+               &text);
+  AppendMetric("failed", "gauge", "1 when the disk can not be trusted, else 0.",
+               status.failed_ || state.is_broken() ? 1 : 0, &text);
+  AppendMetric("term", "gauge", "Term of the replicated log.", status.term_,
+               &text);
+  AppendMetric("commit_index", "gauge", "Newest committed entry known here.",
+               status.commit_index_, &text);
+  AppendMetric("syncs_total", "counter", "Syncs of the log since the start.",
+               status.sync_count_, &text);
+  AppendMetric("watchers", "gauge", "Gateways that watch here.",
+               state.feed().watchers(), &text);
   state.View([&text](const StateMachine& machine) {
-    Add("applied_index", "gauge", "Newest entry applied here.",
-        machine.applied_index(), &text);
-    Add("config_version", "gauge", "Version of the configuration.",
-        machine.config().version(), &text);
-    Add("gateways", "gauge", "Registered gateways.",
-        machine.gateways().gateways().size(), &text);
-    Add("claims", "gauge", "Keys of non-idempotent requests remembered.",
-        machine.claims().size(), &text);
-    Add("answer_bytes", "gauge", "Bytes of stored answers.",
-        machine.claims().answer_bytes(), &text);
-    Add("refusals", "gauge", "Refusals in the journal.",
-        machine.refusals().size(), &text);
-    Add("refusals_dropped_total", "counter",
-        "Refusals dropped from the journal, here or on their gateway.",
-        machine.refusals().dropped_here() +
-            machine.refusals().dropped_by_gateways(),
-        &text);
+    AppendMetric("applied_index", "gauge", "Newest entry applied here.",
+                 machine.applied_index(), &text);
+    AppendMetric("config_version", "gauge", "Version of the configuration.",
+                 machine.config().version(), &text);
+    AppendMetric("gateways", "gauge", "Registered gateways.",
+                 machine.gateways().gateways().size(), &text);
+    AppendMetric("claims", "gauge",
+                 "Keys of non-idempotent requests remembered.",
+                 machine.claims().size(), &text);
+    AppendMetric("answer_bytes", "gauge", "Bytes of stored answers.",
+                 machine.claims().answer_bytes(), &text);
+    AppendMetric("refusals", "gauge", "Refusals in the journal.",
+                 machine.refusals().size(), &text);
+    AppendMetric("refusals_dropped_total", "counter",
+                 "Refusals dropped from the journal, here or on their gateway.",
+                 machine.refusals().dropped_here() +
+                     machine.refusals().dropped_by_gateways(),
+                 &text);
   });
   return text;
 }
 
-std::string FeedMetricsText(bool leads, const ConfigSpread& spread) {
+std::string FeedMetricsText(bool leads, const ConfigSpread& propagation) {
   std::string text;
-  Add("leads", "gauge", "1 on the leader with its lease, else 0.",
-      leads ? 1 : 0, &text);
-  Add("watchers", "gauge", "Gateways that watch here.", spread.gateways_,
-      &text);
-  Add("config_version", "gauge", "Version of the configuration.",
-      spread.newest_, &text);
-  Add("config_lowest_version", "gauge",
-      "Lowest version that a gateway that watches here holds.", spread.lowest_,
-      &text);
-  Add("config_gateways_behind", "gauge",
-      "Gateways that watch here and hold an older version.", spread.behind_,
-      &text);
+  AppendMetric("leads", "gauge", "1 on the leader with its lease, else 0.",
+               leads ? 1 : 0, &text);
+  AppendMetric("watchers", "gauge", "Gateways that watch here.",
+               propagation.gateways_, &text);
+  AppendMetric("config_version", "gauge", "Version of the configuration.",
+               propagation.newest_, &text);
+  AppendMetric("config_lowest_version", "gauge",
+               "Lowest version that a gateway that watches here holds.",
+               propagation.lowest_, &text);
+  AppendMetric("config_gateways_behind", "gauge",
+               "Gateways that watch here and hold an older version.",
+               propagation.behind_, &text);
   return text;
 }
 
--- a/src/control/control_node.cc
+++ b/src/control/control_node.cc
@@ -28,7 +28,7 @@
       std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
 }
 
-ControlOptions Complete(ControlOptions options) {
+ControlOptions WithDefaults(ControlOptions options) {
   ReplicaOptions& replica = options.replica_;
   const auto own = options.peers_.find(replica.raft_.id_);
   if (replica.listen_.empty() && own != options.peers_.end()) {
@@ -77,7 +77,7 @@
 };
 
 ControlNode::Impl::Impl(ControlOptions options, ControlNodeHooks hooks)
-    : options_(Complete(std::move(options))),
+    : options_(WithDefaults(std::move(options))),
       hooks_(std::move(hooks)),
       state_(options_.config_lease_,
              options_.max_watchers_,
@@ -130,8 +130,8 @@
   return true;
 }
 
-// The lead goes first, so that the gateways find the next leader while this
-// node still answers them.
+// The leadership is transferred first, so that the gateways find the next
+// leader while this node still replies to them.
 void ControlNode::Impl::Stop() {
   replica_.Stop();
   leader_.Stop();
--- a/src/control/control_run.cc
+++ b/src/control/control_run.cc
@@ -9,7 +9,7 @@
 namespace citronlane {
 namespace {
 
-// How soon a node whose replica gave up ends, so that everybody sees it.
+// How often the replica is checked for a failure, which ends the process.
 constexpr std::chrono::milliseconds kReplicaCheckInterval{200};
 
 }  // namespace
--- a/src/control/control_state.cc
+++ b/src/control/control_state.cc
@@ -14,8 +14,8 @@
 namespace citronlane {
 namespace {
 
-/// Longest sleep of a waiting call between two looks at the clock.
-constexpr Duration kWaitStep = std::chrono::milliseconds(50);
+/// Interval at which a waiting call checks the clock.
+constexpr Duration kClockCheckInterval = std::chrono::milliseconds(50);
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   }
   const wire::StateResult result = state_.Apply(index, payload);
   unapplied_.OnApplied(index);
-  Tell(state_.effects());
+  PublishEffects(state_.effects());
   changed_.notify_all();
   return result.SerializeAsString();
 }
@@ -59,16 +59,16 @@
   Error error;
   if (!state_.InstallSnapshot(data, &error)) {
     is_broken_ = true;
-    log_("The snapshot is refused: " + error.message_);
+    log_("The received snapshot is refused: " + error.message_);
     return;
   }
   unapplied_.OnApplied(state_.applied_index());
   const TimePoint now = SteadyNow();
   for (const auto& [name, gateway] : state_.gateways().gateways()) {
     tracker_.OnRegistered(name, gateway.incarnation());
-    SeeRegistered(name, gateway.incarnation(), now);
+    RecordRegistration(name, gateway.incarnation(), now);
   }
-  ReadConfig();
+  ParseConfig();
   if (state_.config().version() > 0) {
     tracker_.OnCommitted(state_.config().version(), now);
   }
@@ -104,7 +104,7 @@
   reply.set_unregistered(!registered);
   AddPeers(request, &reply);
   if (registered) {
-    Note(request);
+    RecordLeaseRequest(request);
   }
   return reply;
 }
@@ -129,35 +129,35 @@
   std::unique_lock<std::mutex> lock(mutex_);
   InForceStatus status = tracker_.StatusOf(version, SteadyNow());
   while (!status.in_force_ && SteadyNow() < until) {
-    changed_.wait_for(lock, kWaitStep);
+    changed_.wait_for(lock, kClockCheckInterval);
     status = tracker_.StatusOf(version, SteadyNow());
   }
   return status;
 }
 
-std::map<std::string, GatewaySighting> ControlState::sightings() const {
+std::map<std::string, GatewayObservation> ControlState::observations() const {
   const std::lock_guard<std::mutex> lock(mutex_);
-  return sightings_;
+  return observations_;
 }
 
-void ControlState::Tell(const StateEffects& effects) {
+void ControlState::PublishEffects(const StateEffects& effects) {
   const TimePoint now = SteadyNow();
   for (const auto& [name, incarnation] : effects.registered_gateways_) {
     tracker_.OnRegistered(name, incarnation);
-    SeeRegistered(name, incarnation, now);
+    RecordRegistration(name, incarnation, now);
   }
   for (const auto& [name, incarnation] : effects.removed_gateways_) {
     tracker_.OnForgotten(name, incarnation, now);
-    const auto sighting = sightings_.find(name);
-    if (sighting != sightings_.end() &&
-        sighting->second.incarnation_ == incarnation) {
-      sightings_.erase(sighting);
+    const auto observation = observations_.find(name);
+    if (observation != observations_.end() &&
+        observation->second.incarnation_ == incarnation) {
+      observations_.erase(observation);
     }
   }
   wire::ConfigUpdate update;
   update.set_version(state_.config().version());
   if (effects.config_changed_) {
-    ReadConfig();
+    ParseConfig();
     tracker_.OnCommitted(state_.config().version(), now);
     const wire::ConfigRecord& record = state_.config().history().back();
     update.set_log_index(record.log_index());
@@ -197,14 +197,14 @@
   return update;
 }
 
-void ControlState::ReadConfig() {
+void ControlState::ParseConfig() {
   std::vector<Fault> faults;
   std::optional<ClusterConfig> config = ParseClusterConfig(
       state_.config().document(), state_.config().version(), &faults);
   if (config) {
     config_ = std::make_shared<const ClusterConfig>(*std::move(config));
   } else if (state_.config().version() > 0) {
-    log_("The configuration has faults for this program.");
+    log_("The committed configuration is not valid for this version.");
   }
 }
 
@@ -217,33 +217,34 @@
   entry->set_live(!state.leaving_);
 }
 
-// A gateway is not silent before it had its time to renew its first lease.
-void ControlState::SeeRegistered(const std::string& gateway,
-                                 uint64_t incarnation,
-                                 TimePoint now) {
-  GatewaySighting& sighting = sightings_[gateway];
-  if (sighting.incarnation_ != incarnation) {
-    sighting = GatewaySighting();
-    sighting.incarnation_ = incarnation;
-    sighting.since_ = now;
+// Registration counts as contact: a new gateway gets the full time to renew its
+// first lease.
+void ControlState::RecordRegistration(const std::string& gateway,
+                                      uint64_t incarnation,
+                                      TimePoint now) {
+  GatewayObservation& observation = observations_[gateway];
+  if (observation.incarnation_ != incarnation) {
+    observation = GatewayObservation();
+    observation.incarnation_ = incarnation;
+    observation.since_ = now;
   }
-  sighting.seen_ = now;
+  observation.last_contact_ = now;
 }
 
-void ControlState::Note(const wire::LeaseRequest& request) {
+void ControlState::RecordLeaseRequest(const wire::LeaseRequest& request) {
   const TimePoint now = SteadyNow();
   const wire::GatewayId& gateway = request.gateway();
   tracker_.OnReport(gateway.name(), gateway.incarnation(), request.version());
-  GatewaySighting& sighting = sightings_[gateway.name()];
-  if (sighting.incarnation_ != gateway.incarnation() ||
-      sighting.version_ != request.version()) {
-    sighting.since_ = now;
+  GatewayObservation& observation = observations_[gateway.name()];
+  if (observation.incarnation_ != gateway.incarnation() ||
+      observation.version_ != request.version()) {
+    observation.since_ = now;
     changed_.notify_all();
   }
-  sighting.incarnation_ = gateway.incarnation();
-  sighting.failure_domain_ = gateway.failure_domain();
-  sighting.version_ = request.version();
-  sighting.seen_ = now;
+  observation.incarnation_ = gateway.incarnation();
+  observation.failure_domain_ = gateway.failure_domain();
+  observation.version_ = request.version();
+  observation.last_contact_ = now;
 }
 
 void ControlState::AddPeers(const wire::LeaseRequest& request,
--- a/src/control/fleet_routes.cc
+++ b/src/control/fleet_routes.cc
@@ -19,7 +19,7 @@
 
 using Need = ObjectReader::Need;
 
-constexpr Duration kCommitLimit = std::chrono::seconds(3);
+constexpr Duration kCommitTimeout = std::chrono::seconds(3);
 constexpr uint64_t kMaxNodeId = 1'000'000;
 constexpr uint64_t kMaxOrders = 10'000;
 constexpr std::array<std::string_view, 3> kActions = {"add", "promote",
@@ -31,7 +31,8 @@
 constexpr std::array<std::string_view, 5> kRoles = {
     "follower", "pre_candidate", "candidate", "leader", "learner"};
 
-// What a caller sent, without anything that JSON can't hold.
+// Returns text of a caller with '?' for all but printable ASCII characters, so
+// that it is valid JSON.
 JsonValue CallerText(const std::string& text) {
   std::string shown = text;
   std::replace_if(
@@ -90,14 +91,14 @@
   return item;
 }
 
-AdminResponse Done() {
+AdminResponse CommittedReply() {
   JsonValue body = JsonValue::Object();
   body.Set("outcome", JsonValue::String("committed"));
   return JsonReply(body);
 }
 
-// Whether the server's engine refuses old fencing numbers; nothing when no
-// pool of engines has the server.
+// Returns whether the server's engine refuses old fencing numbers; nullopt when
+// no pool of engines has the server.
 std::optional<bool> ChecksFencing(const ClusterConfig& config,
                                   const std::string& server) {
   for (const auto& [name, pool] : config.pools_) {
@@ -205,7 +206,7 @@
     return ProblemReply(AdminStatus::kNotFound,
                         "The configuration has no such backend server.");
   }
-  // Without an incarnation: the present one.
+  // A record without an incarnation refers to the current one.
   wire::StateCommand command;
   wire::ServerRecord* record = command.mutable_servers()->add_servers();
   record->set_server(server);
@@ -227,7 +228,7 @@
 
 AdminResponse FleetRoutes::SubmitOrder(const std::string& server,
                                        const AdminRequest& request,
-                                       const std::string& who) const {
+                                       const std::string& operator_name) const {
   const std::optional<bool> checks =
       ChecksFencing(*context_.state_->config(), server);
   if (!checks) {
@@ -261,7 +262,7 @@
   const auto index = std::find(kKinds.begin(), kKinds.end(), kind);
   order->set_kind(static_cast<wire::EngineOrder::Kind>(index - kKinds.begin()));
   order->set_server(server);
-  order->set_operator_name(who);
+  order->set_operator_name(operator_name);
   order->set_checks_fencing(*checks);
   return Propose(std::move(command), "Too many orders are not over.");
 }
@@ -332,32 +333,33 @@
 
 AdminResponse FleetRoutes::WaitMembership(
     const std::function<void(Replica::ProposeDone)>& change) const {
-  // No error: committed.
+  // The promise gets the reason of a failure, or "" once committed.
   const auto promise = std::make_shared<std::promise<std::string>>();
   std::future<std::string> future = promise->get_future();
   change(
       [promise](const std::optional<std::string>& result, const Error& error) {
         promise->set_value(result ? std::string() : error.message_);
       });
-  if (future.wait_for(kCommitLimit) != std::future_status::ready) {
+  if (future.wait_for(kCommitTimeout) != std::future_status::ready) {
     return UnavailableReply("The change is not known to be committed.");
   }
   const std::string reason = future.get();
-  return reason.empty() ? Done() : ProblemReply(AdminStatus::kConflict, reason);
+  return reason.empty() ? CommittedReply()
+                        : ProblemReply(AdminStatus::kConflict, reason);
 }
 
 AdminResponse FleetRoutes::Propose(wire::StateCommand command,
                                    std::string_view refused) const {
   Error error;
   const std::optional<wire::StateResult> result =
-      context_.proposer_->ProposeAndWait(std::move(command), kCommitLimit,
+      context_.proposer_->ProposeAndWait(std::move(command), kCommitTimeout,
                                          &error);
   if (!result) {
     return UnavailableReply("The call is not known to be committed. " +
                             error.message_);
   }
   return result->done() || refused.empty()
-             ? Done()
+             ? CommittedReply()
              : ProblemReply(AdminStatus::kTooMany, refused);
 }
 
--- a/src/control/gateway_feed.cc
+++ b/src/control/gateway_feed.cc
@@ -19,19 +19,19 @@
 using wire::fleet::WatchRequest;
 using wire::fleet::WatchUpdate;
 
-/// Gateways find a new leader within about a second; until then they keep the
-/// list of their peers that the last one gave them.
+/// Gateways find a new leader within about a second. Until then they keep the
+/// list of gateways that the previous leader sent.
 constexpr Duration kGatheringTime = std::chrono::milliseconds(1500);
-/// A new leader has read the list of servers by then, unless the platform does
-/// not answer; by it pools are divided.
-constexpr Duration kListTime = std::chrono::seconds(1);
-/// Versions that gateways may still hold while changes come in quick
-/// succession; a small part of a control VM's memory.
+/// A new leader has read the server list by then, unless the platform does not
+/// respond. Pools are divided into partitions by that list.
+constexpr Duration kServerListTimeout = std::chrono::seconds(1);
+/// Memory for recent versions, which gateways may still hold while changes come
+/// in quick succession; a small fraction of a control VM's memory.
 constexpr size_t kRecentBytes = size_t{16} << 20;
-/// A version that some gateways lack for so long is logged: soon it is late.
-constexpr Duration kLateConfig = std::chrono::seconds(1);
-/// A gateway that is in touch confirms an update sooner, also after a pause.
-constexpr Duration kLongestUnconfirmed = std::chrono::milliseconds(1200);
+/// A version that some gateways lack for longer is logged as late.
+constexpr Duration kLateConfigDelay = std::chrono::seconds(1);
+/// A connected gateway confirms an update sooner, also after a pause.
+constexpr Duration kMaxUnconfirmedTime = std::chrono::milliseconds(1200);
 
 }  // namespace
 
@@ -42,17 +42,17 @@
   bool stopping_ = false;
   bool has_gateways_ = false;
   TimePoint started_;
-  /// What the gateway holds, as it said last.
+  /// Version that the gateway last reported.
   std::optional<uint64_t> config_version_;
-  /// A configuration is on its way that the gateway has not confirmed. The next
-  /// one waits for that, so that it is the newest by then, and only one takes
-  /// up memory here and time on the gateway's link.
-  bool is_config_on_way_ = false;
+  /// Whether a configuration was sent that the gateway has not confirmed. The
+  /// next one waits for the confirmation, so that it is the newest by then and
+  /// only one occupies memory here and the gateway's link.
+  bool is_config_in_flight_ = false;
   TimePoint config_sent_;
   uint64_t servers_number_ = 0;
   uint64_t gateways_number_ = 0;
   uint64_t owners_number_ = 0;
-  /// As it was told last; nothing when it was not.
+  /// Drained domains last sent; nullopt when none were sent yet.
   std::optional<DrainedDomains::Names> drained_;
 };
 
@@ -81,7 +81,7 @@
   watcher->stopping_ = request.stopping();
   watcher->has_gateways_ = request.has_gateways();
   watcher->started_ = now - std::chrono::milliseconds(request.age_ms());
-  if (request.has_config() && !watcher->is_config_on_way_) {
+  if (request.has_config() && !watcher->is_config_in_flight_) {
     watcher->config_version_ = request.config_version();
   }
   if (request.has_owners()) {
@@ -89,10 +89,10 @@
     assignment_.Adopt(request.owners().number(),
                       DecodeOwners(request.owners()));
   }
-  // The others hear of it at the next round: a fleet that starts up would
-  // send each of its gateways' names to each of them.
+  // The other gateways are notified by the next PushAll. Otherwise the start of
+  // a fleet would send as many lists as there are pairs of gateways.
   ++gateways_number_;
-  NoteConfig(now);
+  RecordNewestConfig(now);
   Push(watcher.get(), now);
 }
 
@@ -104,17 +104,17 @@
     return;
   }
   Watcher* const watcher = found->second.get();
-  watcher->is_config_on_way_ = false;
+  watcher->is_config_in_flight_ = false;
   watcher->config_version_ =
       held.none() ? std::nullopt : std::optional(held.version());
-  NoteConfig(now);
+  RecordNewestConfig(now);
   if (watcher->config_version_ != documents_.newest()) {
     Push(watcher, now);
   }
   LogConfigProgress(now);
 }
 
-void GatewayFeed::Closed(const FrameChannel* channel) {
+void GatewayFeed::OnClosed(const FrameChannel* channel) {
   if (watchers_.erase(channel) > 0) {
     ++gateways_number_;
   }
@@ -140,7 +140,7 @@
   ++gateways_number_;
 }
 
-void GatewayFeed::UpdateAssignment(TimePoint now) {
+void GatewayFeed::UpdatePoolAssignment(TimePoint now) {
   if (!leadership_().leads_) {
     return;
   }
@@ -149,36 +149,37 @@
     gateways.push_back({watcher->gateway_, watcher->stopping_,
                         now - watcher->started_, watcher->failure_domain_});
   }
-  const bool knows_no_parts = assignment_.number() == 0 && !servers_read_;
-  if (knows_no_parts && now < leading_since_ + kListTime) {
+  const bool has_no_partitions = assignment_.number() == 0 && !servers_read_;
+  if (has_no_partitions && now < leading_since_ + kServerListTimeout) {
     return;
   }
-  assignment_.Update(Parts(), gateways, now);
+  assignment_.Update(Partitions(), gateways, now);
 }
 
-// Without a list the parts that are stay, since each change moves servers.
-std::vector<PoolPart> GatewayFeed::Parts() const {
+// Without a server list the current partitions are kept, since each change
+// moves servers between owners.
+std::vector<PoolPart> GatewayFeed::Partitions() const {
   const std::vector<PooledService> services = pools_();
   if (servers_read_) {
     return DividePools(services,
                        WithDrained(servers_, state_->drained().names()),
                        assignment_.owners());
   }
-  std::vector<PoolPart> parts;
+  std::vector<PoolPart> partitions;
   for (const PooledService& service : services) {
     const auto held =
         PoolAssignment::PartsAmong(assignment_.owners(), service.name_);
-    parts.insert(parts.end(), held.begin(), held.end());
+    partitions.insert(partitions.end(), held.begin(), held.end());
     if (held.empty()) {
-      parts.emplace_back(service.name_);
+      partitions.emplace_back(service.name_);
     }
   }
-  return parts;
+  return partitions;
 }
 
 void GatewayFeed::PushAll(TimePoint now) {
-  NoteConfig(now);
-  UpdateAssignment(now);
+  RecordNewestConfig(now);
+  UpdatePoolAssignment(now);
   std::vector<std::pair<std::shared_ptr<FrameChannel>, Watcher*>> open;
   for (const auto& [key, watcher] : watchers_) {
     if (auto channel = watcher->channel_.lock()) {
@@ -186,7 +187,7 @@
     }
   }
   for (const auto& [channel, watcher] : open) {
-    // A channel that a push closes takes its watcher with it.
+    // A push that closes a channel removes its watcher.
     if (watchers_.count(channel.get()) != 0) {
       Push(watcher, now);
     }
@@ -199,34 +200,34 @@
                      [version, now](const auto& entry) {
                        const Watcher& watcher = *entry.second;
                        const bool is_silent =
-                           watcher.is_config_on_way_ &&
-                           now - watcher.config_sent_ >= kLongestUnconfirmed;
+                           watcher.is_config_in_flight_ &&
+                           now - watcher.config_sent_ >= kMaxUnconfirmedTime;
                        const auto& held = watcher.config_version_;
                        return (held && *held >= version) || is_silent;
                      });
 }
 
-ConfigSpread GatewayFeed::Spread() const {
-  ConfigSpread spread;
-  spread.newest_ = documents_.newest().value_or(0);
-  spread.lowest_ = spread.newest_;
+ConfigSpread GatewayFeed::Propagation() const {
+  ConfigSpread propagation;
+  propagation.newest_ = documents_.newest().value_or(0);
+  propagation.lowest_ = propagation.newest_;
   for (const auto& [key, watcher] : watchers_) {
     const uint64_t held = watcher->config_version_.value_or(0);
-    ++spread.gateways_;
-    spread.behind_ += held < spread.newest_ ? 1 : 0;
-    spread.lowest_ = std::min(spread.lowest_, held);
+    ++propagation.gateways_;
+    propagation.behind_ += held < propagation.newest_ ? 1 : 0;
+    propagation.lowest_ = std::min(propagation.lowest_, held);
   }
-  return spread;
+  return propagation;
 }
 
-void GatewayFeed::NoteConfig(TimePoint now) {
+void GatewayFeed::RecordNewestConfig(TimePoint now) {
   const ConfigRegister& config = state_->config();
   if (config.is_empty() || documents_.newest() == config.version()) {
     return;
   }
   documents_.Add(config.version(), config.document());
   config_since_ = now;
-  logged_everywhere_ = false;
+  logged_complete_ = false;
   logged_late_ = false;
 }
 
@@ -241,9 +242,9 @@
     update->add_members(member);
   }
   AddConfig(watcher, leadership.leads_, now, update);
-  // When the whole fleet has restarted, gateways have nobody else to hear of
-  // each other from until there is a leader. Without that each would run all
-  // pools by itself, and all would call the same servers.
+  // After a restart of the complete fleet no leader can send gateways the list
+  // of the others. Without it each would run all pools by itself, and all would
+  // call the same servers.
   if (!leadership.leads_ && leadership.leader_.empty()) {
     AddGateways(watcher, true, update);
   }
@@ -280,10 +281,10 @@
                             WatchUpdate* update) {
   const auto& held = watcher->config_version_;
   const auto newest = documents_.newest();
-  const bool has_news = newest && (!held || *held < *newest);
-  // What was committed once, though it may not be the newest, serves better
-  // than nothing until a leader is found.
-  if (!has_news || watcher->is_config_on_way_ || (held && !leads)) {
+  const bool is_behind = newest && (!held || *held < *newest);
+  // Without a leader, a gateway that has no configuration gets the one applied
+  // here: it is committed, though it may not be the newest.
+  if (!is_behind || watcher->is_config_in_flight_ || (held && !leads)) {
     return;
   }
   Error error;
@@ -299,37 +300,38 @@
   config->set_base_version(made->base_.value_or(0));
   config->set_data(made->data_);
   config->set_age_ms(InMilliseconds(now - config_since_));
-  watcher->is_config_on_way_ = true;
+  watcher->is_config_in_flight_ = true;
   watcher->config_sent_ = now;
 }
 
-// A line when all gateways hold the newest version, and one when some still
-// lack it after a while.
+// Logs once when all gateways hold the newest version, and once when some still
+// lack it after kLateConfigDelay.
 void GatewayFeed::LogConfigProgress(TimePoint now) {
   const auto newest = documents_.newest();
-  if (!newest || logged_everywhere_ || watchers_.empty() ||
+  if (!newest || logged_complete_ || watchers_.empty() ||
       !leadership_().leads_) {
     return;
   }
-  const ConfigSpread spread = Spread();
-  if (spread.behind_ == 0) {
-    logged_everywhere_ = true;
+  const ConfigSpread propagation = Propagation();
+  if (propagation.behind_ == 0) {
+    logged_complete_ = true;
     log_->Write("control", "config everywhere",
                 {{"version", *newest},
-                 {"gateways", spread.gateways_},
+                 {"gateways", propagation.gateways_},
                  {"after_ms", now - config_since_}});
-  } else if (!logged_late_ && now - config_since_ >= kLateConfig) {
+  } else if (!logged_late_ && now - config_since_ >= kLateConfigDelay) {
     logged_late_ = true;
     log_->Write("control", "config late",
                 {{"version", *newest},
-                 {"behind", spread.behind_},
-                 {"lowest", spread.lowest_},
-                 {"gateways", spread.gateways_},
+                 {"behind", propagation.behind_},
+                 {"lowest", propagation.lowest_},
+                 {"gateways", propagation.gateways_},
                  {"after_ms", now - config_since_}});
   }
 }
 
-// While gateways gather, the list is not whole: one that has a list keeps it.
+// While gateways gather the list is incomplete, so a gateway that has one keeps
+// it.
 void GatewayFeed::AddGateways(Watcher* watcher,
                               bool is_gathering,
                               WatchUpdate* update) const {
--- a/src/control/member_address.cc
+++ b/src/control/member_address.cc
@@ -3,16 +3,16 @@
 namespace citronlane {
 namespace {
 
-constexpr char kMark = '#';
+constexpr char kNonceSeparator = '#';
 
 }  // namespace
 
 std::string MemberAddress(std::string_view endpoint, uint64_t nonce) {
-  return std::string(endpoint) + kMark + std::to_string(nonce);
+  return std::string(endpoint) + kNonceSeparator + std::to_string(nonce);
 }
 
 std::string EndpointOf(std::string_view address) {
-  return std::string(address.substr(0, address.find(kMark)));
+  return std::string(address.substr(0, address.find(kNonceSeparator)));
 }
 
 }  // namespace citronlane
--- a/src/control/membership_keeper.cc
+++ b/src/control/membership_keeper.cc
@@ -9,10 +9,10 @@
 
 using Step = MembershipStep;
 
-// Id of the node at that endpoint under another address, or 0.
-uint64_t OlderNodeAt(const std::map<uint64_t, std::string>& nodes,
-                     const std::string& endpoint,
-                     const std::string& address) {
+// Returns the id of the node at that endpoint with another nonce, or 0.
+uint64_t FindOlderNode(const std::map<uint64_t, std::string>& nodes,
+                       const std::string& endpoint,
+                       const std::string& address) {
   for (const auto& [id, other] : nodes) {
     if (other != address && EndpointOf(other) == endpoint) {
       return id;
@@ -36,21 +36,22 @@
 MembershipKeeper::MembershipKeeper(const Options& options)
     : options_(options) {}
 
-void MembershipKeeper::Wish(const std::string& endpoint, uint64_t nonce) {
-  wishes_[endpoint] = nonce;
+void MembershipKeeper::AddJoinRequest(const std::string& endpoint,
+                                      uint64_t nonce) {
+  join_requests_[endpoint] = nonce;
 }
 
-void MembershipKeeper::Heard(uint64_t id, TimePoint now) {
-  heard_[id] = now;
+void MembershipKeeper::RecordContact(uint64_t id, TimePoint now) {
+  last_contact_[id] = now;
 }
 
 void MembershipKeeper::StartLeading(const Membership& membership,
                                     TimePoint now) {
-  heard_.clear();
-  wishes_.clear();
+  last_contact_.clear();
+  join_requests_.clear();
   for (const auto* nodes : {&membership.voters_, &membership.learners_}) {
     for (const auto& [id, address] : *nodes) {
-      heard_[id] = now;
+      last_contact_[id] = now;
     }
   }
 }
@@ -58,10 +59,10 @@
 std::optional<Step> MembershipKeeper::Next(const Membership& membership,
                                            uint64_t self,
                                            TimePoint now) {
-  if (auto step = NextForWishes(membership, self, now)) {
+  if (auto step = NextForJoinRequests(membership, self, now)) {
     return step;
   }
-  return NextForLearners(membership, self, now);
+  return NextForCurrentMembers(membership, self, now);
 }
 
 bool MembershipKeeper::IsAlive(uint64_t id,
@@ -77,12 +78,12 @@
   if (id == self) {
     return false;
   }
-  const auto it = heard_.find(id);
-  return it == heard_.end() || now - it->second >= longer_than;
+  const auto it = last_contact_.find(id);
+  return it == last_contact_.end() || now - it->second >= longer_than;
 }
 
-// The voters that remain must have a live majority, or the change would stop
-// the cluster instead of mending it.
+// The remaining voters must have a live majority, or the change would stop the
+// cluster instead of repairing it.
 bool MembershipKeeper::MayRemoveVoter(const Membership& membership,
                                       uint64_t id,
                                       uint64_t self,
@@ -97,26 +98,26 @@
   return alive > (membership.voters_.size() - 1) / 2;
 }
 
-std::optional<Step> MembershipKeeper::NextForWishes(
+std::optional<Step> MembershipKeeper::NextForJoinRequests(
     const Membership& membership,
     uint64_t self,
     TimePoint now) {
-  for (auto wish = wishes_.begin(); wish != wishes_.end();) {
+  for (auto wish = join_requests_.begin(); wish != join_requests_.end();) {
     const std::string& endpoint = wish->first;
     const std::string address = MemberAddress(endpoint, wish->second);
     if (Holds(membership.voters_, address) ||
         Holds(membership.learners_, address)) {
-      wish = wishes_.erase(wish);
+      wish = join_requests_.erase(wish);
       continue;
     }
-    // The disk that the endpoint had before is gone, and its votes with it.
-    const std::string why = "its VM came back with an empty disk";
+    // The endpoint's previous disk is lost, and its votes with it.
+    const std::string why = "its VM returned with an empty disk";
     if (const uint64_t id =
-            OlderNodeAt(membership.learners_, endpoint, address)) {
+            FindOlderNode(membership.learners_, endpoint, address)) {
       return Step{Step::Kind::kRemove, id, "", why};
     }
     if (const uint64_t id =
-            OlderNodeAt(membership.voters_, endpoint, address)) {
+            FindOlderNode(membership.voters_, endpoint, address)) {
       if (MayRemoveVoter(membership, id, self, now)) {
         return Step{Step::Kind::kRemove, id, "", why};
       }
@@ -124,21 +125,21 @@
       continue;
     }
     const uint64_t id = membership.last_id_ + 1;
-    // It asked just now, and can't have said more yet.
-    heard_[id] = now;
-    return Step{Step::Kind::kAddLearner, id, address, "it asked to join"};
+    // The request counts as contact, since the node has sent nothing else yet.
+    last_contact_[id] = now;
+    return Step{Step::Kind::kAddLearner, id, address, "it requested to join"};
   }
   return std::nullopt;
 }
 
-std::optional<Step> MembershipKeeper::NextForLearners(
+std::optional<Step> MembershipKeeper::NextForCurrentMembers(
     const Membership& membership,
     uint64_t self,
     TimePoint now) const {
   bool has_live_learner = false;
   for (const auto& [id, address] : membership.learners_) {
     if (IsSilent(id, self, now, options_.drop_learner_after_)) {
-      return Step{Step::Kind::kRemove, id, "", "a silent learner"};
+      return Step{Step::Kind::kRemove, id, "", "the learner is out of contact"};
     }
     if (!IsAlive(id, self, now)) {
       continue;
@@ -154,7 +155,7 @@
   for (const auto& [id, address] : membership.voters_) {
     if (IsSilent(id, self, now, options_.replace_after_) &&
         MayRemoveVoter(membership, id, self, now)) {
-      return Step{Step::Kind::kRemove, id, "", "a learner takes its place"};
+      return Step{Step::Kind::kRemove, id, "", "a learner replaces it"};
     }
   }
   return std::nullopt;
--- a/src/control/node_identity.cc
+++ b/src/control/node_identity.cc
@@ -51,7 +51,7 @@
     }
   }
   if (failure && failure != std::errc::no_such_file_or_directory) {
-    error->message_ = "can't list " + data_dir + ": " + failure.message();
+    error->message_ = "can not list " + data_dir + ": " + failure.message();
   }
   return newest;
 }
@@ -62,8 +62,7 @@
   for (; !failure && entry != fs::directory_iterator();
        entry.increment(failure)) {
     if (ParseName(entry->path().filename().string())) {
-      // One file after the other, and then the folder: a remove_all needs
-      // calls that not every file system has.
+      // Not remove_all, which needs system calls that some file systems lack.
       for (const auto& file : fs::directory_iterator(entry->path(), failure)) {
         fs::remove(file.path(), failure);
       }
@@ -71,7 +70,8 @@
     }
   }
   if (failure && failure != std::errc::no_such_file_or_directory) {
-    error->message_ = "can't empty " + data_dir + ": " + failure.message();
+    error->message_ = "can not remove the identities in " + data_dir + ": " +
+                      failure.message();
     return false;
   }
   return true;
--- a/src/control/operator_api.cc
+++ b/src/control/operator_api.cc
@@ -23,15 +23,16 @@
 namespace citronlane {
 namespace {
 
-/// Operators move on to another VM after a second without an answer, so one
-/// that comes later is of little use to them.
+/// Operators try another VM after a second without a response, so a later one
+/// is of little use to them.
 constexpr Duration kAnswerTime = std::chrono::milliseconds(2500);
-/// A cluster that was just formed has all its voters within half a second;
-/// fewer VMs may be all there are. Gateways that are in touch hold a change
-/// sooner, unless changes come faster than they can read them: then operators
-/// wait too.
-constexpr Duration kSpreadTime = std::chrono::milliseconds(700);
-constexpr auto kSpreadPoll = std::chrono::milliseconds(10);
+/// Maximum wait, from the start of a call, for all voters and for the gateways
+/// to hold the change. A cluster that was just formed has all its voters within
+/// half a second, but there may be fewer VMs. Connected gateways hold a change
+/// sooner, unless changes come faster than they can read them; then the wait
+/// slows the operators down.
+constexpr Duration kPropagationTimeout = std::chrono::milliseconds(700);
+constexpr auto kPropagationPollInterval = std::chrono::milliseconds(10);
 
 constexpr std::string_view kMetricsPath = "/metrics";
 
@@ -60,7 +61,8 @@
   return reply;
 }
 
-// One call's wait for the log; outlives the call when the answer comes late.
+// State of one call's wait for the log. Outlives the call when the result comes
+// after its end.
 struct Wait {
   explicit Wait(HttpExchange* exchange) : exchange_(exchange) {}
 
@@ -73,20 +75,21 @@
     }
   }
 
-  /// Null once nobody waits any more.
+  /// Null once the call has stopped waiting.
   HttpExchange* exchange_;
   bool is_done_ = false;
   bool succeeded_ = false;
   std::string reason_;
 };
 
-ConfigProposer::Done FinishOf(const std::shared_ptr<Wait>& wait) {
+ConfigProposer::Done MakeDone(const std::shared_ptr<Wait>& wait) {
   return [wait](bool is_committed, const std::string& reason) {
     wait->Finish(is_committed, reason);
   };
 }
 
-// Suspends the handler until the wait is done or `limit` is over.
+// Suspends the handler until the wait is done, `limit` has passed or the
+// operator has closed the connection.
 void WaitAtMost(boost::asio::io_context* io,
                 const std::shared_ptr<Wait>& wait,
                 Duration limit) {
@@ -131,7 +134,7 @@
   if (call.kind_ == Kind::kUnknown) {
     exchange->Reply(ErrorReply(kNotFound, "no such call"));
   } else if (!hooks_.leads_()) {
-    exchange->Reply(Elsewhere(request));
+    exchange->Reply(RedirectToLeader(request));
   } else if (call.kind_ == Kind::kReplaceConfig) {
     exchange->Reply(Replace(request, exchange));
   } else if (call.kind_ == Kind::kReadConfig) {
@@ -142,7 +145,7 @@
   }
 }
 
-HttpReply OperatorApi::Elsewhere(const HttpRequest& request) const {
+HttpReply OperatorApi::RedirectToLeader(const HttpRequest& request) const {
   const std::string leader = hooks_.leader_();
   if (leader.empty()) {
     return ErrorReply(kUnavailable, "no control VM is known to lead");
@@ -165,7 +168,7 @@
   const TimePoint begun = SteadyNow();
   if (!state_->config().Holds(version)) {
     const auto wait = std::make_shared<Wait>(exchange);
-    hooks_.submit_(version, request.body_, FinishOf(wait));
+    hooks_.submit_(version, request.body_, MakeDone(wait));
     WaitAtMost(io_, wait, kAnswerTime);
     if (!wait->succeeded_) {
       log_->Write("control", "config not acknowledged",
@@ -174,7 +177,7 @@
     }
   }
   const Duration committed_after = SteadyNow() - begun;
-  const TimePoint until = begun + kSpreadTime;
+  const TimePoint until = begun + kPropagationTimeout;
   if (!WaitFor(exchange, until, hooks_.has_all_voters_)) {
     log_->Write("control", "acknowledged by fewer voters than wanted",
                 {{"version", version}});
@@ -201,7 +204,7 @@
     return ErrorReply(kBadRequest, "too many failure domains are drained");
   }
   const auto wait = std::make_shared<Wait>(exchange);
-  hooks_.set_drained_(domain, is_drained, FinishOf(wait));
+  hooks_.set_drained_(domain, is_drained, MakeDone(wait));
   WaitAtMost(io_, wait, kAnswerTime);
   log_->Write("control", "drain order",
               {{"domain", domain},
@@ -221,7 +224,7 @@
     if (SteadyNow() >= until || exchange->caller_gone()) {
       return false;
     }
-    WaitAtMost(io_, std::make_shared<Wait>(exchange), kSpreadPoll);
+    WaitAtMost(io_, std::make_shared<Wait>(exchange), kPropagationPollInterval);
   }
   return true;
 }
--- a/src/control/order_dispatcher.cc
+++ b/src/control/order_dispatcher.cc
@@ -147,7 +147,7 @@
   return next;
 }
 
-// Runs under the state's lock: takes nothing else from the state.
+// Runs under the state's lock, so it must not call the state.
 bool OrderDispatcher::MayPropose(const wire::EngineOrder& order) const {
   const std::lock_guard<std::mutex> lock(mutex_);
   return open_.count(order.order_id()) == 0 &&
@@ -163,7 +163,8 @@
     until = gate_.SendUntil(order.fencing_number(), proposed, SteadyNow(),
                             has_lease_());
   }
-  // An engine that was declared anew since then may not check any more.
+  // The configuration of the engine may have changed since the submission, to
+  // one that does not check fencing numbers.
   const bool fits =
       pool != nullptr && (pool->checks_fencing_ || !order.checks_fencing());
   if (!fits || !until) {
--- a/src/control/pending_calls.cc
+++ b/src/control/pending_calls.cc
@@ -27,7 +27,7 @@
     proposal.done_(std::move(result), Error{});
   } else {
     proposal.done_(std::nullopt,
-                   Error{"another leader's entry took its place"});
+                   Error{"an entry of another leader replaced the command"});
   }
 }
 
--- a/src/control/replica.cc
+++ b/src/control/replica.cc
@@ -10,7 +10,7 @@
 namespace citronlane {
 namespace {
 
-// More calls than this wait for nothing: the caller is told at once.
+// Maximum calls queued for the thread; further ones fail at once.
 constexpr size_t kMaxQueuedCalls = 1 << 16;
 
 }  // namespace
@@ -86,9 +86,9 @@
   }
   StartNode(std::move(*state));
   if (node_->identity_lost()) {
-    error->message_ = "the cluster knows node " +
+    error->message_ = "the membership records another disk for node " +
                       std::to_string(options_.raft_.id_) +
-                      " with another disk; join under an id never used";
+                      "; join under an id never used";
     return false;
   }
   return true;
@@ -125,7 +125,8 @@
   return greeting_;
 }
 
-// Hands something to the thread; false when it no longer takes anything.
+// Queues work for the thread. Returns false when the queue is full or the
+// thread is not running.
 bool Replica::Impl::Post(const std::function<void(Inbox*)>& fill) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
@@ -145,7 +146,8 @@
     inbox->proposals_.push_back(Proposal{std::move(payload), std::move(done)});
   });
   if (!posted) {
-    done(std::nullopt, Error{"the replica takes no calls"});
+    done(std::nullopt,
+         Error{"the replica is not running or its queue is full"});
   }
 }
 
@@ -164,7 +166,8 @@
         MembershipChange{kind, id, std::move(address), std::move(done)});
   });
   if (!posted) {
-    done(std::nullopt, Error{"the replica takes no calls"});
+    done(std::nullopt,
+         Error{"the replica is not running or its queue is full"});
   }
 }
 
--- a/src/control/replica_driver.cc
+++ b/src/control/replica_driver.cc
@@ -10,13 +10,14 @@
 namespace citronlane {
 namespace {
 
-// The snapshot that every initial voter starts from.
+// Log position of the snapshot that every initial voter starts from.
 constexpr uint64_t kInitialIndex = 1;
 constexpr uint64_t kInitialTerm = 1;
-/// Changes that come closer together share one snapshot.
-constexpr Duration kQuiet = std::chrono::milliseconds(400);
+/// Time without a command after which a snapshot is taken, so that a burst of
+/// commands shares one.
+constexpr Duration kQuietTimeBeforeSnapshot = std::chrono::milliseconds(400);
 
-Membership After(Membership membership, const MembershipStep& step) {
+Membership MembershipAfter(Membership membership, const MembershipStep& step) {
   switch (step.kind_) {
     case MembershipStep::Kind::kAddLearner:
       membership.learners_[step.id_] = step.address_;
@@ -132,7 +133,7 @@
                             Replica::ProposeDone done) {
   Error error;
   if (!node_ || !failure_.empty()) {
-    done(std::nullopt, Error{"the replica takes no calls"});
+    done(std::nullopt, Error{"the replica is not running"});
     return;
   }
   const auto index = node_->Propose(now, std::move(command), &error);
@@ -162,18 +163,18 @@
                            const MembershipStep& step,
                            Error* error) {
   if (!node_ || !failure_.empty()) {
-    error->message_ = "the replica takes no calls";
+    error->message_ = "the replica is not running";
     return false;
   }
-  const auto index =
-      node_->ProposeMembership(now, After(node_->membership(), step), error);
+  const auto index = node_->ProposeMembership(
+      now, MembershipAfter(node_->membership(), step), error);
   if (index) {
     CarryOutReady(now);
   }
   return index.has_value();
 }
 
-void ReplicaDriver::HandOver(TimePoint now) {
+void ReplicaDriver::TransferLeadership(TimePoint now) {
   if (node_ && failure_.empty() && node_->role() == Role::kLeader) {
     node_->TransferLeadership(now, 0);
     CarryOutReady(now);
@@ -241,12 +242,12 @@
   }
 }
 
-// What was applied is known at once after a restart only if a snapshot holds
-// it: the log alone does not say what is committed. Gateways that restart with
-// all control VMs so serve a second earlier.
+// After a restart only the state in a snapshot is known to be committed; the
+// log alone does not show that. With a recent snapshot, gateways that restart
+// along with all control VMs get a configuration before a leader is elected.
 void ReplicaDriver::SnapshotWhenQuiet(TimePoint now) {
-  if (!failure_.empty() || !snapshots_.has_news() ||
-      now - last_command_ < kQuiet) {
+  if (!failure_.empty() || !snapshots_.has_unsaved_commands() ||
+      now - last_command_ < kQuietTimeBeforeSnapshot) {
     return;
   }
   Error error;
@@ -265,7 +266,8 @@
   last_term_ = node_->term();
   hooks_.role_changed_(last_role_, last_term_);
   if (was_leader) {
-    pending_.FailAll("this node lost the lead; the command may still commit");
+    pending_.FailAll(
+        "this node lost the leadership; the command may still be committed");
   }
 }
 
--- a/src/control/replica_formation.cc
+++ b/src/control/replica_formation.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kGreetingInterval = std::chrono::milliseconds(100);
-// The snapshot that every initial voter starts from.
+// Log position of the snapshot that every initial voter starts from.
 constexpr uint64_t kInitialIndex = 1;
 constexpr uint64_t kInitialTerm = 1;
 
@@ -29,7 +29,7 @@
 
 void Replica::Impl::TickFormation(const std::vector<Greeting>& greetings) {
   for (const Greeting& greeting : greetings) {
-    formation_->Take(greeting.round_, greeting.greeting_);
+    formation_->HandleGreeting(greeting.round_, greeting.greeting_);
   }
   switch (formation_->state()) {
     case ClusterFormation::State::kFormed:
@@ -72,8 +72,8 @@
     snapshot.data_ = hooks_.take_snapshot_();
   }
   {
-    // Told before it is on disk, so that nobody counts this node as empty once
-    // it may act.
+    // Published before it is on disk, so that no other node counts this one as
+    // empty once it may vote.
     const std::lock_guard<std::mutex> lock(mutex_);
     greeting_.formed_ = true;
     greeting_.incarnations_ = snapshot.membership_.incarnations_;
--- a/src/control/replica_loop.cc
+++ b/src/control/replica_loop.cc
@@ -24,7 +24,7 @@
       Refuse(inbox, "the cluster is not formed yet");
     }
     PublishStatus();
-    if (IsHandedOver()) {
+    if (MayEndThread()) {
       break;
     }
   }
@@ -56,8 +56,8 @@
   HandleChanges(std::move(inbox.changes_));
   node_->Tick(SteadyNow());
   if (node_->identity_lost()) {
-    Fail("the cluster knows node " + std::to_string(options_.raft_.id_) +
-         " with another disk; join under an id never used");
+    Fail("the membership records another disk for node " +
+         std::to_string(options_.raft_.id_) + "; join under an id never used");
   }
 }
 
@@ -121,8 +121,9 @@
   return membership;
 }
 
-// Once asked to stop, a leader hands over first, within bounded time.
-bool Replica::Impl::IsHandedOver() {
+// Whether the thread may end: once stopped, a leader transfers the leadership
+// first, within bounded time.
+bool Replica::Impl::MayEndThread() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     if (!thread_.is_stopping()) {
@@ -134,12 +135,12 @@
     return true;
   }
   const TimePoint now = SteadyNow();
-  if (!handing_over_) {
-    handing_over_ = true;
-    hand_over_until_ = now + 2 * options_.raft_.election_timeout_;
+  if (!transferring_leadership_) {
+    transferring_leadership_ = true;
+    leadership_transfer_deadline_ = now + 2 * options_.raft_.election_timeout_;
     node_->TransferLeadership(now, 0);
   }
-  return now >= hand_over_until_;
+  return now >= leadership_transfer_deadline_;
 }
 
 void Replica::Impl::Fail(const std::string& reason) {
@@ -183,7 +184,7 @@
   status_.commit_index_ = node_->commit_index();
   status_.applied_index_ = node_->applied_index();
   status_.last_index_ = node_->last_index();
-  // Compared first, since a copy for each batch would cost more.
+  // Compared first, since a copy per batch would cost more.
   if (status_.membership_ != node_->membership()) {
     status_.membership_ = node_->membership();
   }
--- a/src/control/replica_ready.cc
+++ b/src/control/replica_ready.cc
@@ -19,8 +19,8 @@
       Fail(error.message_);
       return;
     }
-    // Lease renewals are answered with this membership: it is told before the
-    // entry that changes it is acknowledged.
+    // Replies to lease renewals carry this membership, so it is published
+    // before the entry that changes it is acknowledged.
     PublishStatus();
     peers_->Send(SteadyNow(), node_->membership(), std::move(ready.messages_));
     Apply(ready.committed_);
@@ -37,7 +37,7 @@
   NotifyRole();
 }
 
-// One sync for everything that came in since the last one.
+// Stores everything that arrived since the last call with one sync.
 bool Replica::Impl::StoreReady(const Ready& ready, Error* error) {
   if (ready.snapshot_) {
     if (!storage_->SaveSnapshot(*ready.snapshot_, true, error)) {
@@ -53,8 +53,9 @@
       hooks_.install_snapshot_(index, ready.snapshot_->data_);
     }
   }
-  // Whoever asks this node for its newest entry must hear of one before any
-  // quorum can have committed it, so the hooks go before the acknowledgement.
+  // Replies to lease renewals report the newest version in the log and must
+  // include an entry before a quorum can have committed it, so the hooks run
+  // before the entry is acknowledged.
   NotifyAppended(ready.entries_);
   return storage_->Append(ready.hard_state_, ready.entries_, error);
 }
@@ -96,7 +97,8 @@
     hooks_.role_changed_(last_role_, last_term_);
   }
   if (was_leader) {
-    pending_.FailAll("this node lost the lead; the command may still commit");
+    pending_.FailAll(
+        "this node lost the leadership; the command may still be committed");
   }
 }
 
--- a/src/control/vm_list_poller.cc
+++ b/src/control/vm_list_poller.cc
@@ -6,8 +6,8 @@
 namespace citronlane {
 namespace {
 
-constexpr Duration kAnswerLimit = std::chrono::seconds(1);
-constexpr Duration kCommitLimit = std::chrono::seconds(2);
+constexpr Duration kReplyTimeout = std::chrono::seconds(1);
+constexpr Duration kCommitTimeout = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -51,20 +51,21 @@
 
 void VmListPoller::Poll() {
   Error error;
-  const std::optional<VmListClient::States> seen =
-      client_.Get(kAnswerLimit, &error);
-  TellOnce(seen ? std::string() : error.message_);
-  if (seen) {
-    Propose(*seen);
+  const std::optional<VmListClient::States> listed =
+      client_.Get(kReplyTimeout, &error);
+  LogFailureOnce(listed ? std::string() : error.message_);
+  if (listed) {
+    Propose(*listed);
   }
 }
 
-// Only what the list changes, so that an unchanged list costs no commit.
-void VmListPoller::Propose(const VmListClient::States& seen) {
+// Proposes only what the list changes, so that an unchanged list costs no
+// commit.
+void VmListPoller::Propose(const VmListClient::States& listed) {
   wire::StateCommand command;
   state_->View([&](const StateMachine& state) {
     const auto& known = state.servers().states();
-    for (const auto& [server, now] : seen) {
+    for (const auto& [server, now] : listed) {
       const auto found = known.find(server);
       if (found != known.end() &&
           ServerStates::Combine(found->second, now) == found->second) {
@@ -79,15 +80,15 @@
   if (command.has_servers()) {
     // Waits, so that the next list is compared with the result of this one.
     Error error;
-    proposer_->ProposeAndWait(std::move(command), kCommitLimit, &error);
+    proposer_->ProposeAndWait(std::move(command), kCommitTimeout, &error);
   }
 }
 
-void VmListPoller::TellOnce(const std::string& failure) {
+void VmListPoller::LogFailureOnce(const std::string& failure) {
   if (failure != failure_) {
     failure_ = failure;
     log_(failure.empty()
-             ? "The platform's VM list is read again."
+             ? "The platform's VM list can be read again."
              : "The platform's VM list can not be read: " + failure);
   }
 }
--- a/tests/unit-control.cc
+++ b/tests/unit-control.cc
@@ -30,8 +30,8 @@
 
 constexpr std::chrono::seconds kLimit(20);
 
-// A free port below those the kernel hands out by itself; another one each
-// time.
+// Returns a free address with a port below the ephemeral range; another one
+// each time.
 std::string FreeAddress() {
   constexpr uint32_t kFirst = 20000;
   constexpr uint32_t kCount = 12000;
@@ -88,7 +88,7 @@
   AdminServer server_;
 };
 
-// Three control nodes in this process, on disk folders of their own.
+// Three control nodes in this process, each with a data folder of its own.
 class Cluster {
  public:
   Cluster() {
@@ -205,7 +205,7 @@
   return value->IsString() ? value->AsString() : WriteJson(*value);
 }
 
-// A gateway as control sees it.
+// The control client of a gateway.
 class Gateway {
  public:
   Gateway(const Cluster& cluster, const std::string& name, uint64_t incarnation)
@@ -286,7 +286,7 @@
 }  // namespace
 
 TEST_CASE("control state") {
-  SECTION("counts a gateway as seen when it registers") {
+  SECTION("counts registration as contact of a gateway") {
     ControlState state(std::chrono::seconds(3), 1, [](std::string_view) {});
     wire::StateCommand command;
     wire::GatewayId* gateway =
@@ -295,8 +295,8 @@
     for (const uint64_t incarnation : {1, 2}) {
       gateway->set_incarnation(incarnation);
       state.Apply(incarnation, command.SerializeAsString());
-      REQUIRE(state.sightings().count("g") == 1);
-      CHECK(state.sightings().at("g").incarnation_ == incarnation);
+      REQUIRE(state.observations().count("g") == 1);
+      CHECK(state.observations().at("g").incarnation_ == incarnation);
     }
   }
 }
@@ -333,7 +333,7 @@
     }));
   }
 
-  SECTION("let one of 50 racing operators win, and tell the others who") {
+  SECTION("let one of 50 racing operators win and report it to the others") {
     std::vector<std::thread> threads;
     std::vector<AdminReply> replies(50);
     for (size_t i = 0; i < replies.size(); ++i) {
@@ -362,7 +362,7 @@
     }
     REQUIRE(in_force(2));
 
-    // The answer was lost: the same change again gets the first result.
+    // A resend after a lost response gets the first result.
     REQUIRE(ana.Change(2, "next", 5).status_ == 200);
     const AdminReply again = ana.Change(1, "race-" + std::to_string(index),
                                         2000 + static_cast<int>(index));
@@ -390,7 +390,7 @@
     CHECK_FALSE(second.fell_);
   }
 
-  SECTION("let the lease of a gateway lapse without a quorum") {
+  SECTION("let the lease of a gateway expire without a quorum") {
     const uint64_t kept = cluster.Leader();
     for (uint64_t id = 1; id <= 3; ++id) {
       if (id != kept) {
@@ -406,7 +406,7 @@
     CHECK(in_force(1));
   }
 
-  SECTION("come back from one snapshot and a tail after 500 changes") {
+  SECTION("restart from a snapshot and the log after it after 500 changes") {
     uint64_t version = 1;
     for (int i = 0; i < 500; ++i) {
       const AdminReply reply =
@@ -450,7 +450,7 @@
     CHECK(eve.Get("/v1/status").status_ == 200);
   }
 
-  SECTION("follow the platform's list, and never an old one back") {
+  SECTION("apply the platform's list, and no outdated state in it") {
     cluster.backends_.SetVms(
         R"({"id":"m1","state":"leaving","incarnation":4})");
     REQUIRE(Eventually(
@@ -503,15 +503,16 @@
           ParseJson(cluster.backends_.orders().at(index), &fault);
       return static_cast<int>(sent_order->Find("fencing")->AsNumber());
     };
-    // Another one than 1 where the lead has changed by itself before.
+    // Above 1 when the leadership has changed before.
     const int number = number_of(0);
     CHECK(cluster.backends_.orders().at(0) ==
           R"({"fencing":)" + std::to_string(number) +
               R"(,"order_id":"one","kind":"change_role",)"
               R"("role":"prefill"})");
 
-    // A new leader tells a checking engine at once, the other one only after
-    // every order of the earlier leader is over.
+    // A new leader sends orders at once to an engine that checks fencing
+    // numbers; to another one only after every order of the previous leader has
+    // ended.
     cluster.Stop(cluster.Leader());
     cluster.Leader();
     REQUIRE(order("m2", "three") == 200);
@@ -526,7 +527,7 @@
     }));
   }
 
-  SECTION("tell every gateway of a server that leaves, and keep refusals") {
+  SECTION("notify all gateways of a leaving server, and store refusals") {
     REQUIRE(ana.Post("/v1/servers/m1/drain", "{}").status_ == 404);
     first.client_.ReportLeaving("m2", 3);
     CHECK(Eventually([&] { return second.IsLeaving("m2"); }));
--- a/tests/unit-gateway-feed.cc
+++ b/tests/unit-gateway-feed.cc
@@ -32,7 +32,7 @@
 using wire::fleet::Frame;
 using wire::fleet::WatchUpdate;
 
-/// A control VM that leads.
+/// A control VM that is the leader.
 class Leader {
  public:
   Leader(boost::asio::io_context* io, const std::string& endpoint)
@@ -51,12 +51,13 @@
               return leadership;
             },
             [] { return std::vector<PooledService>(); }),
-        listener_(
-            io,
-            endpoint,
-            {[this](const std::shared_ptr<FrameChannel>& channel,
-                    Frame* frame) { Take(channel, *frame); },
-             [this](const FrameChannel* channel) { feed_.Closed(channel); }}) {
+        listener_(io,
+                  endpoint,
+                  {[this](const std::shared_ptr<FrameChannel>& channel,
+                          Frame* frame) { Take(channel, *frame); },
+                   [this](const FrameChannel* channel) {
+                     feed_.OnClosed(channel);
+                   }}) {
     Error error;
     REQUIRE(listener_.Start(&error));
   }
@@ -73,10 +74,10 @@
     feed_.PushAll(SteadyNow());
   }
 
-  /// Lets time pass, as far as the feed knows.
+  /// Pushes updates as of `time` from now.
   void Pass(Duration time) { feed_.PushAll(SteadyNow() + time); }
 
-  /// `later` from now on.
+  /// Whether the version is held by all, as of `later` from now.
   bool IsHeldByAll(uint64_t version, Duration later) const {
     return feed_.IsHeldByAll(version, SteadyNow() + later);
   }
@@ -92,7 +93,7 @@
     }
   }
 
-  /// Bytes that wait for the gateway.
+  /// Bytes queued for the gateway.
   size_t queued_bytes() const {
     const auto channel = channel_.lock();
     return channel ? channel->queued_bytes() : 0;
@@ -116,7 +117,7 @@
   FrameListener listener_;
 };
 
-/// A gateway that reads what it was sent only while its loop runs.
+/// A gateway that reads from its connection only in Poll.
 class Gateway {
  public:
   explicit Gateway(const std::string& leader)
@@ -130,16 +131,16 @@
 
   void Poll() {
     watch_.Tick(SteadyNow());
-    // It stops whenever nothing is under way.
+    // The loop stops whenever it has nothing to do.
     io_.restart();
     io_.poll();
   }
 
   ConfigReceiver config_;
   std::vector<ConfigUpdate> updates_;
-  /// Failure domains that it was told are drained.
+  /// Drained failure domains last received.
   std::vector<std::string> drained_;
-  /// What it had to read, in bytes.
+  /// Size of all updates received, in bytes.
   size_t received_bytes_ = 0;
 
  private:
@@ -174,9 +175,10 @@
 
 }  // namespace
 
-// Configurations were in force seconds after they were acknowledged: each went
-// to each gateway as a whole document, behind all that came before it.
-TEST_CASE("changes come faster than a gateway's link carries whole documents") {
+// Guards against configurations that come into force seconds after they were
+// acknowledged: a full document for each change, queued behind the earlier
+// ones, does so when changes come in quick succession.
+TEST_CASE("changes come faster than a gateway's link carries full documents") {
   boost::asio::io_context io;
   const std::string endpoint = FreeEndpoint(&io);
   Leader leader(&io, endpoint);
@@ -196,20 +198,20 @@
     io.poll();
   }
 
-  SECTION("the newest one is there within a second of the link") {
-    // 10 Mbit/s, half of it taken by requests and results.
+  SECTION("the newest one arrives within a second") {
+    // One second of a 10 Mbit/s link, half of it taken by requests and results.
     constexpr size_t kLinkBytes = 625000;
     REQUIRE(has(kLast));
     CHECK(gateway.config_.document() == RouteDocument(kLast, kRoutes));
     CHECK(gateway.received_bytes_ <= kLinkBytes);
   }
 
-  SECTION("one that reads nothing costs control less than a document") {
+  SECTION("a gateway that reads nothing costs less memory than a document") {
     CHECK(leader.queued_bytes() <= RouteDocument(kLast, kRoutes).size());
   }
 }
 
-TEST_CASE("what a gateway is sent goes by what it holds") {
+TEST_CASE("updates depend on the version that a gateway holds") {
   boost::asio::io_context io;
   const std::string endpoint = FreeEndpoint(&io);
   Leader leader(&io, endpoint);
@@ -229,21 +231,21 @@
   REQUIRE(gateway.updates_.size() == 1);
   CHECK_FALSE(gateway.updates_.back().has_base());
 
-  SECTION("a difference from there") {
+  SECTION("a difference from that version") {
     leader.Commit(2, RouteDocument(2, 11));
     REQUIRE(has(2));
     CHECK(gateway.updates_.back().base_version() == 1);
     CHECK(gateway.config_.document() == RouteDocument(2, 11));
   }
-  SECTION("also on a new connection") {
+  SECTION("a difference also on a new connection") {
     leader.Disconnect();
     leader.Commit(2, RouteDocument(2, 11));
     REQUIRE(has(2));
     CHECK(gateway.updates_.back().base_version() == 1);
     CHECK(gateway.updates_.size() == 2);
   }
-  SECTION("the whole document once it can't restore a difference") {
-    // Other content under the number that control knows.
+  SECTION("the full document once it can not apply a difference") {
+    // Gives the gateway other content under the same version.
     gateway.config_ = ConfigReceiver();
     ConfigUpdate foreign;
     Error error;
@@ -256,7 +258,7 @@
     CHECK_FALSE(gateway.updates_.back().has_base());
     CHECK(gateway.config_.document() == RouteDocument(2, 11));
   }
-  SECTION("and control logs whether all have the newest") {
+  SECTION("propagation of the newest version is logged") {
     REQUIRE(until([&] { return leader.HasLogged("config everywhere"); }));
     CHECK_FALSE(leader.HasLogged("config late"));
     leader.Commit(2, RouteDocument(2, 11));
@@ -281,12 +283,12 @@
     leader.Drain("north-b", false);
     REQUIRE(drained({}));
   }
-  SECTION("and control knows whether all in touch have it") {
+  SECTION("IsHeldByAll counts the connected gateways") {
     CHECK(until([&] { return leader.IsHeldByAll(1, Duration::zero()); }));
     leader.Commit(2, RouteDocument(2, 11));
     CHECK(leader.IsHeldByAll(1, Duration::zero()));
     CHECK_FALSE(leader.IsHeldByAll(2, Duration::zero()));
-    // One that is cut off confirms nothing.
+    // A gateway without confirmations for long does not count.
     CHECK_FALSE(leader.IsHeldByAll(2, std::chrono::milliseconds(800)));
     CHECK(leader.IsHeldByAll(2, std::chrono::milliseconds(1500)));
     CHECK(until([&] { return leader.IsHeldByAll(2, Duration::zero()); }));
--- a/tests/unit-membership-keeper.cc
+++ b/tests/unit-membership-keeper.cc
@@ -12,7 +12,8 @@
 using std::chrono::seconds;
 using Kind = MembershipStep::Kind;
 
-/// The leader's view: node 1 leads, everybody is heard unless silenced.
+/// A cluster as its leader, node 1, observes it: all nodes are in contact
+/// except those given as silent.
 class Cluster {
  public:
   explicit Cluster(size_t voters, size_t target = 5)
@@ -41,7 +42,7 @@
       for (const auto* nodes : {&membership_.voters_, &membership_.learners_}) {
         for (const auto& [id, address] : *nodes) {
           if (silent.count(id) == 0) {
-            keeper_.Heard(id, now_);
+            keeper_.RecordContact(id, now_);
           }
         }
       }
@@ -52,7 +53,7 @@
     return keeper_.Next(membership_, 1, now_);
   }
 
-  /// Carries the step out, as the log would.
+  /// Applies the change as the log would.
   void Apply(const MembershipStep& step) {
     if (step.kind_ == Kind::kAddLearner) {
       membership_.learners_[step.id_] = step.address_;
@@ -74,16 +75,17 @@
 }  // namespace
 
 TEST_CASE("membership keeper") {
-  SECTION("a whole cluster is left alone") {
+  SECTION("a complete cluster is not changed") {
     Cluster cluster(5);
     cluster.Pass(seconds(10));
     CHECK_FALSE(cluster.Next());
   }
 
-  SECTION("VMs that ask become learners, then voters, up to the target") {
+  SECTION("VMs that join become learners, then voters up to the target") {
     Cluster cluster(3);
     for (int i = 0; i < 3; ++i) {
-      cluster.keeper_.Wish("10.0.1." + std::to_string(i) + ":7000", 9);
+      cluster.keeper_.AddJoinRequest("10.0.1." + std::to_string(i) + ":7000",
+                                     9);
     }
     int steps = 0;
     while (auto step = cluster.Next()) {
@@ -96,9 +98,9 @@
     CHECK(cluster.membership_.learners_.size() == 1);
   }
 
-  SECTION("a new learner is given time to be heard") {
+  SECTION("a new learner gets time for its first message") {
     Cluster cluster(3);
-    cluster.keeper_.Wish("10.0.1.1:7000", 9);
+    cluster.keeper_.AddJoinRequest("10.0.1.1:7000", 9);
     const auto add = cluster.Next();
     REQUIRE(add);
     REQUIRE(add->kind_ == Kind::kAddLearner);
@@ -111,13 +113,13 @@
   SECTION("an id is never used twice") {
     Cluster cluster(5);
     cluster.membership_.last_id_ = 40;
-    cluster.keeper_.Wish("10.0.1.1:7000", 9);
+    cluster.keeper_.AddJoinRequest("10.0.1.1:7000", 9);
     CHECK(cluster.Next()->id_ == 41);
   }
 
-  SECTION("a VM that comes back empty replaces its old self") {
+  SECTION("a VM that returns with an empty disk replaces its old node") {
     Cluster cluster(5);
-    cluster.keeper_.Wish(Cluster::EndpointAt(4), 77);
+    cluster.keeper_.AddJoinRequest(Cluster::EndpointAt(4), 77);
     auto step = cluster.Next();
     REQUIRE(step);
     CHECK(step->kind_ == Kind::kRemove);
@@ -136,10 +138,10 @@
     CHECK_FALSE(cluster.Next());
   }
 
-  SECTION("two that lost their disks are replaced one after the other") {
+  SECTION("two nodes with lost disks are replaced one after the other") {
     Cluster cluster(5);
-    cluster.keeper_.Wish(Cluster::EndpointAt(4), 1);
-    cluster.keeper_.Wish(Cluster::EndpointAt(5), 2);
+    cluster.keeper_.AddJoinRequest(Cluster::EndpointAt(4), 1);
+    cluster.keeper_.AddJoinRequest(Cluster::EndpointAt(5), 2);
     cluster.Pass(seconds(1), {4, 5});
     int steps = 0;
     while (auto step = cluster.Next()) {
@@ -152,18 +154,18 @@
     CHECK(cluster.membership_.voters_.count(5) == 0);
   }
 
-  SECTION("no step stops the cluster: the rest must have a live majority") {
+  SECTION("no change leaves the cluster without a live majority") {
     Cluster cluster(5);
-    cluster.keeper_.Wish(Cluster::EndpointAt(4), 1);
+    cluster.keeper_.AddJoinRequest(Cluster::EndpointAt(4), 1);
     // Three of the four others are silent.
     cluster.Pass(seconds(1), {2, 3, 5});
     const auto step = cluster.Next();
     CHECK((!step || step->kind_ != Kind::kRemove));
   }
 
-  SECTION("a voter that is gone for good gives its place to a learner") {
+  SECTION("a voter that is lost for long is replaced by a learner") {
     Cluster cluster(5);
-    cluster.keeper_.Wish("10.0.1.1:7000", 9);
+    cluster.keeper_.AddJoinRequest("10.0.1.1:7000", 9);
     cluster.Apply(*cluster.Next());
     cluster.Pass(seconds(2), {3});
     CHECK_FALSE(cluster.Next());
@@ -178,15 +180,15 @@
     CHECK(step->kind_ == Kind::kPromote);
   }
 
-  SECTION("without a learner nobody is removed") {
+  SECTION("without a learner no voter is removed") {
     Cluster cluster(5);
     cluster.Pass(seconds(60), {3});
     CHECK_FALSE(cluster.Next());
   }
 
-  SECTION("a learner that stays silent is dropped") {
+  SECTION("a silent learner is removed") {
     Cluster cluster(5);
-    cluster.keeper_.Wish("10.0.1.1:7000", 9);
+    cluster.keeper_.AddJoinRequest("10.0.1.1:7000", 9);
     const auto add = cluster.Next();
     cluster.Apply(*add);
     cluster.Pass(seconds(9), {add->id_});
--- a/tests/unit-replica.cc
+++ b/tests/unit-replica.cc
@@ -27,7 +27,7 @@
 
 namespace fs = std::filesystem;
 
-/// Loopback addresses that were free a moment ago.
+/// Returns loopback addresses that were free just before.
 std::vector<std::string> FreeAddresses(size_t count) {
   std::vector<int> sockets;
   std::vector<std::string> addresses;
@@ -94,7 +94,7 @@
     return status().role_ == Role::kLeader && status().leader_lease_;
   }
 
-  /// Result of the command, or the reason in brackets.
+  /// Returns the result of the command, or the reason in brackets.
   std::string Propose(const std::string& payload) {
     std::promise<std::string> promise;
     replica_->Propose(payload, Answer(&promise));
@@ -147,7 +147,7 @@
   ReplicaOptions Options(uint64_t id) const {
     ReplicaOptions options;
     options.raft_.id_ = id;
-    // Wide, so that a busy machine changes no verdict.
+    // Long timeouts, so that the test passes on a busy machine.
     options.raft_.heartbeat_interval_ = std::chrono::milliseconds(100);
     options.raft_.election_timeout_ = std::chrono::milliseconds(1000);
     options.raft_.leader_lease_ = std::chrono::milliseconds(900);
@@ -189,7 +189,7 @@
     return *leader;
   }
 
-  /// Proposes to whichever node leads until one says it is done.
+  /// Proposes to the current leader until the command is committed.
   std::string Commit(const std::string& payload) {
     std::string result;
     REQUIRE(Eventually([&] {
@@ -201,7 +201,7 @@
 
   uint64_t snapshot_interval_ = 4096;
   uint64_t snapshot_bytes_ = 64 << 20;
-  /// Disk of each node that has another than the machine's.
+  /// File system of each node that does not use the machine's.
   std::map<uint64_t, FileSystem> files_;
 
  private:
@@ -211,7 +211,8 @@
   std::vector<std::unique_ptr<Node>> nodes_;
 };
 
-/// Proposes all at once and waits for every answer. Returns how many were done.
+/// Proposes `count` commands at once and waits for all results. Returns how
+/// many were committed.
 size_t ProposeAll(Node* node, size_t count) {
   std::atomic<size_t> answered{0};
   std::atomic<size_t> done{0};
@@ -232,7 +233,7 @@
 TEST_CASE("replica of one node") {
   Cluster cluster(1);
 
-  SECTION("commits, reads and remembers across a restart") {
+  SECTION("commits, reads and keeps its state across a restart") {
     REQUIRE(cluster.Start(1).empty());
     CHECK(cluster.Commit("a") == "done a");
     CHECK(cluster.At(1).Read());
@@ -241,14 +242,14 @@
     CHECK(cluster.Commit("b") == "done b");
     CHECK(cluster.At(1).state() == "a;b;");
   }
-  SECTION("syncs once for all that waits") {
+  SECTION("syncs once for all waiting commands") {
     REQUIRE(cluster.Start(1).empty());
     cluster.Commit("a");
     const uint64_t before = cluster.At(1).status().sync_count_;
     CHECK(ProposeAll(&cluster.At(1), 2000) == 2000);
     CHECK(cluster.At(1).status().sync_count_ - before < 1000);
   }
-  SECTION("restarts after 500 changes from one snapshot and a short tail") {
+  SECTION("restarts after 500 changes from a snapshot and a short log") {
     constexpr int kInterval = 100;
     cluster.snapshot_interval_ = kInterval;
     REQUIRE(cluster.Start(1).empty());
@@ -294,7 +295,7 @@
   }
   cluster.Commit("a");
 
-  SECTION("all apply what was committed, and the lead is handed over") {
+  SECTION("all apply committed commands, and the leadership is transferred") {
     const uint64_t leader = cluster.Leader().status().id_;
     cluster.Stop(leader);
     CHECK(cluster.Commit("b") == "done b");
@@ -328,7 +329,7 @@
     cluster.Stop(lost);
     fs::remove_all(cluster.Folder(lost));
 
-    // The same settings with an empty disk: it says why it stays out.
+    // The same settings with an empty disk: it fails with a reason.
     REQUIRE(cluster.Start(lost).empty());
     REQUIRE(Eventually([&] { return cluster.At(lost).status().failed_; }));
     CHECK(cluster.At(lost).status().failure_.find("add this VM as a learner") !=
@@ -350,7 +351,7 @@
     });
     cluster.Commit("b");
 
-    // A second disk goes right after the repair: nothing committed is lost.
+    // Loses a second disk right after the repair: nothing committed is lost.
     const uint64_t gone = lost % 3 + 1;
     cluster.Stop(gone);
     fs::remove_all(cluster.Folder(gone));
@@ -377,7 +378,7 @@
   CHECK(Eventually([&] { return cluster.At(3).status().failed_; }));
   CHECK(cluster.At(3).status().failure_ == "can not sync file: injected");
   CHECK(cluster.At(3).Propose("c").front() == '[');
-  // The others go on without it.
+  // The others continue without it.
   CHECK(cluster.Commit("d") == "done d");
 }
 
