--- a/include/citronlane/control/gateway_feed.h
+++ b/include/citronlane/control/gateway_feed.h
@@ -76,8 +76,8 @@
   void SetServers(std::vector<BackendServer> servers,
                   size_t unusable,
                   TimePoint now);
-  /// Resets the known servers and gateways when this node becomes the leader,
-  /// since they are out of date.
+  /// Call when this node becomes the leader: the server list counts as not
+  /// read, and both lists are sent to every gateway again.
   void StartLeading(TimePoint now);
 
   /// Sends every gateway what changed, and a keepalive. Call at each change and
--- a/include/citronlane/control/replica.h
+++ b/include/citronlane/control/replica.h
@@ -24,6 +24,7 @@
   /// not known to be committed; it may be committed later.
   using ProposeDone = std::function<void(std::optional<std::string> result,
                                          const Error& error)>;
+  /// Receives whether a read was confirmed; see Read.
   using ReadDone = std::function<void(bool confirmed)>;
 
   Replica(ReplicaOptions options, ReplicaHooks hooks);
--- a/include/citronlane/control/replica_driver.h
+++ b/include/citronlane/control/replica_driver.h
@@ -39,6 +39,8 @@
     uint64_t snapshot_bytes_ = 8 << 20;
     FileSystem files_;
   };
+  /// `send_` sends a message to the node Message::to_; the others are as in
+  /// ReplicaHooks. None may be empty or call a non-const method of the driver.
   struct Hooks {
     std::function<void(Message message)> send_;
     std::function<std::string(const std::string& command)> apply_;
--- a/include/citronlane/state/fleet_state.h
+++ b/include/citronlane/state/fleet_state.h
@@ -9,8 +9,8 @@
 
 namespace citronlane {
 
-/// The complete replicated state of the control VMs in platform mode: the
-/// configuration and the drained failure domains. Deterministic and without
+/// The complete replicated state of the control VMs of a self-forming fleet:
+/// the configuration and the drained failure domains. Deterministic and without
 /// I/O. Not thread safe.
 class FleetState {
  public:
