--- a/include/citronlane/storage/detail/durable_file.h
+++ b/include/citronlane/storage/detail/durable_file.h
@@ -9,11 +9,12 @@
 
 namespace citronlane {
 
-/// What a file is called until it is whole.
+/// Suffix of a file's name until all of it is written and synced.
 inline constexpr std::string_view kUnfinishedSuffix = ".new";
 
-/// Writes a whole file beside its place, syncs it, renames it and syncs the
-/// folder: after a crash it is there whole or as it was before.
+/// Replaces a file atomically: writes and syncs a temporary file, renames it
+/// and syncs the folder. After a crash the file has either its old or its new
+/// content.
 bool WriteDurableFile(const FileSystem& files,
                       const std::string& folder,
                       const std::string& name,
--- a/include/citronlane/storage/detail/log_reader.h
+++ b/include/citronlane/storage/detail/log_reader.h
@@ -15,17 +15,18 @@
 /// Replays the segments of a write-ahead log in order. Not thread safe.
 class LogReader {
  public:
-  /// Replays one segment and returns how many of its bytes are good. Fewer than
-  /// all means a torn tail, allowed only in the last segment. Nothing, with
-  /// file and offset in the reason, when records that were once synced are
-  /// damaged or missing.
+  /// Replays one segment and returns the number of its valid bytes. Fewer than
+  /// all means a torn tail, allowed only in the last segment. Fails, with file
+  /// and offset in `error`, when records that were once synced are damaged or
+  /// missing, or when a record is of an unknown kind.
   std::optional<size_t> Read(const std::string& name,
                              std::string_view data,
                              bool is_last,
                              Error* error);
 
-  /// Applies that a snapshot of (`index`, `term`) is durable: keeps the entries
-  /// after it if the log holds it, else starts anew behind it.
+  /// Moves the log's base to a durable snapshot of (`index`, `term`). Keeps the
+  /// entries after it if the log holds that position with that term, else
+  /// removes all entries. Does nothing for a snapshot before the base.
   void ApplySnapshotMark(uint64_t index, uint64_t term);
 
   /// Whether the entries follow a snapshot: false when the log's first segments
@@ -33,16 +34,16 @@
   bool IsComplete() const { return !needs_mark_; }
 
   RecoveredLog& log() { return log_; }
-  /// Batch number for the next record written.
+  /// Number of the next batch to be written.
   uint64_t next_batch() const { return last_batch_ + 1; }
-  /// Highest entry index seen in the segment read last.
+  /// Highest entry index in the segment that was read last.
   uint64_t segment_max_index() const { return segment_max_index_; }
 
  private:
   bool Apply(const Record& record, Error* error);
   void Truncate(uint64_t index);
   bool ApplyEntry(const Record& record, Error* error);
-  bool WasSynced(std::string_view data, size_t bad) const;
+  bool WasSynced(std::string_view data, size_t invalid_offset) const;
   uint64_t last_index() const {
     return log_.base_index_ + log_.entries_.size();
   }
@@ -51,7 +52,7 @@
   uint64_t last_batch_ = 0;
   bool last_ended_batch_ = true;
   uint64_t segment_max_index_ = 0;
-  /// The position before the first entry is not yet marked as a snapshot's.
+  /// Whether no snapshot mark for the log's base has been read yet.
   bool needs_mark_ = false;
 };
 
--- a/include/citronlane/storage/posix_file_system.h
+++ b/include/citronlane/storage/posix_file_system.h
@@ -5,8 +5,8 @@
 
 namespace citronlane {
 
-/// The machine's own files. The hooks are thread safe; calls on one handle are
-/// not.
+/// Returns hooks that use the file system of the operating system. The hooks
+/// are thread safe; calls on the same handle are not.
 FileSystem PosixFileSystem();
 
 }  // namespace citronlane
--- a/include/citronlane/storage/recover.h
+++ b/include/citronlane/storage/recover.h
@@ -11,18 +11,20 @@
 
 namespace citronlane {
 
-/// Reads the data folder of node `id` as a start would, without changing it,
-/// and says what there is to do. Nothing and a reason when the folder is in
-/// use, is another node's, or can not be read at all. Thread safe, if the hooks
-/// are.
+/// Reads the data folder of node `id` as ReplicaStorage::Open does, without
+/// changing its data, and reports what the operator has to do. Returns
+/// `std::nullopt` and sets `error` when the folder is locked by another
+/// process, belongs to another node, or can not be listed. Thread safe if the
+/// hooks are.
 std::optional<RecoveryReport> InspectDataFolder(const FileSystem& files,
                                                 const std::string& folder,
                                                 uint64_t id,
                                                 Error* error);
 
-/// Does what the report of an untrusted folder says: moves it aside, durably.
-/// The VM then joins as a learner under an id never used. Thread safe, if the
-/// hooks are.
+/// Renames an untrusted folder to `report.set_aside_` and syncs its parent.
+/// The VM then joins as a learner under an id that was never used. Returns
+/// false and sets `error` when the report's finding is not kUntrusted or the
+/// rename or sync fails. Thread safe if the hooks are.
 bool SetDataFolderAside(const FileSystem& files,
                         const std::string& folder,
                         const RecoveryReport& report,
--- a/include/citronlane/storage/recovered_log.h
+++ b/include/citronlane/storage/recovered_log.h
@@ -10,16 +10,16 @@
 
 namespace citronlane {
 
-/// What a write-ahead log held when it was opened.
+/// Content of a write-ahead log, as read when it is opened.
 struct RecoveredLog {
   HardState hard_state_;
-  /// Snapshot position that the entries follow.
+  /// Position of the snapshot that the entries follow.
   uint64_t base_index_ = 0;
   uint64_t base_term_ = 0;
   std::vector<Entry> entries_;
-  /// One line when a torn tail was cut, else empty.
+  /// Description of a truncated torn tail; empty when there was none.
   std::string cut_;
-  /// Whether there was no log at all.
+  /// Whether the folder held no log segment.
   bool is_new_ = false;
 };
 
--- a/include/citronlane/storage/recovery_report.h
+++ b/include/citronlane/storage/recovery_report.h
@@ -6,24 +6,25 @@
 
 namespace citronlane {
 
-/// What a data folder holds, and what there is to do about it.
+/// Condition of a data folder and the action that it requires.
 struct RecoveryReport {
   enum class Finding {
-    /// Nothing was ever stored.
+    /// The folder has no data files.
     kEmpty,
     /// The node can start.
     kHealthy,
-    /// The node can start; its next start cuts a write that was not finished.
+    /// The node can start; its next start truncates an incomplete write at the
+    /// end of the log.
     kTornTail,
-    /// Something that was synced is damaged or gone: the folder must not be
-    /// used again.
+    /// Data that may have been synced is damaged or missing: the folder must
+    /// not be used again.
     kUntrusted,
   };
 
   Finding finding_ = Finding::kEmpty;
-  /// Short sentences for the operator.
+  /// Explanation for the operator, a sentence per line.
   std::vector<std::string> lines_;
-  /// kUntrusted: where the folder would be moved, else empty.
+  /// kUntrusted: path to which the folder would be renamed; else empty.
   std::string set_aside_;
 };
 
--- a/include/citronlane/storage/replica_storage.h
+++ b/include/citronlane/storage/replica_storage.h
@@ -15,13 +15,18 @@
 
 namespace citronlane {
 
-/// Everything one control VM keeps on disk: identity, log and snapshots in one
-/// data folder. After a failed call the node must stop. Not thread safe.
+/// Durable state of one control VM: node identity, Raft log and snapshots in
+/// one data folder. It is not a general store: gateways keep nothing here, and
+/// the content of entries and snapshots is opaque to it.
+///
+/// After a failed call the node must stop. Not thread safe.
 class ReplicaStorage {
  public:
   /// Returns a random number, not 0.
   using IncarnationHook = std::function<uint64_t()>;
 
+  /// `segment_bytes` is the size at which a log segment is closed;
+  /// `draw_incarnation` is called when an empty folder is first opened.
   ReplicaStorage(FileSystem files,
                  std::string folder,
                  uint64_t segment_bytes,
@@ -30,25 +35,30 @@
   ReplicaStorage(const ReplicaStorage&) = delete;
   ReplicaStorage& operator=(const ReplicaStorage&) = delete;
 
-  /// Locks the folder and reads it; gives an empty one the identity `id` and a
-  /// new incarnation. Refused, with file and offset where there is one, when
-  /// the folder belongs to another id, or when something that was once synced
-  /// is damaged or gone. Call once, before all else.
+  /// Locks the folder, creating it if needed, and reads it. An empty folder
+  /// gets the identity `id` and a new incarnation. Fails when the folder is
+  /// locked by another process or belongs to another id, and when data that was
+  /// once synced is damaged or missing; `error` then names the file, and the
+  /// offset of damage in the log. Must be called once, before the other
+  /// methods.
   std::optional<StoredState> Open(uint64_t id, Error* error);
 
-  /// Stores hard state and entries as one batch with one sync. Entries replace
-  /// the stored log from the first of them on.
+  /// Stores hard state and entries as one batch with one sync. The stored log
+  /// is truncated before the first of `entries`, which have consecutive
+  /// indexes.
   bool Append(const std::optional<HardState>& hard_state,
               absl::Span<const Entry> entries,
               Error* error);
 
-  /// Stores a snapshot, then drops what it makes needless. `replaces_log` when
-  /// it came from another node and no stored entry counts any more.
+  /// Stores a snapshot, then removes the older snapshots and the log segments
+  /// that it covers. `replaces_log` must be set when the snapshot came from
+  /// another node and the entries stored here are void.
   bool SaveSnapshot(const Snapshot& snapshot, bool replaces_log, Error* error);
 
+  /// Number of syncs of the log, including failed ones.
   uint64_t sync_count() const { return log_.sync_count(); }
 
-  /// After a refused Open: whether the folder is another node's.
+  /// After a failed Open: whether the folder belongs to another node.
   bool belongs_to_other() const { return belongs_to_other_; }
 
  private:
@@ -66,7 +76,7 @@
   std::optional<FileSystem::Handle> lock_;
   uint64_t id_ = 0;
   uint64_t incarnation_ = 0;
-  /// Whether a snapshot was ever stored: from then on one must be there.
+  /// Whether a snapshot was ever stored. If so, a missing snapshot is an error.
   bool is_member_ = false;
   bool belongs_to_other_ = false;
 };
--- a/include/citronlane/storage/snapshot_store.h
+++ b/include/citronlane/storage/snapshot_store.h
@@ -11,20 +11,21 @@
 
 namespace citronlane {
 
-/// Snapshot files of one data folder. Not thread safe.
+/// Reads and writes the snapshot files of one data folder. Not thread safe.
 class SnapshotStore {
  public:
-  /// `files` outlives the store.
+  /// `files` must outlive the store.
   SnapshotStore(const FileSystem& files, std::string folder);
 
-  /// Returns once the snapshot would survive a loss of power.
+  /// Returns once the snapshot would survive a power loss.
   bool Save(const Snapshot& snapshot, Error* error);
 
-  /// The newest snapshot; index 0 when there is none. Nothing, with the file in
-  /// the reason, when it is damaged.
+  /// Returns the newest snapshot, or one of index 0 when there is none. Fails
+  /// with the file name in `error` when the newest one is damaged.
   std::optional<Snapshot> LoadNewest(Error* error) const;
 
-  /// Removes the snapshots below `index`, and what crashes left behind.
+  /// Removes the snapshots below `index` and the unfinished files that a crash
+  /// left in the folder.
   bool RemoveBelow(uint64_t index, Error* error);
 
  private:
--- a/include/citronlane/storage/stored_state.h
+++ b/include/citronlane/storage/stored_state.h
@@ -11,15 +11,16 @@
 
 namespace citronlane {
 
-/// What a control VM's data folder held when it was opened.
+/// Content of a control VM's data folder, as read when it is opened.
 struct StoredState {
-  /// Drawn when the folder was first used.
+  /// Random number of the data folder, drawn when it was first used.
   uint64_t incarnation_ = 0;
   HardState hard_state_;
   /// Index 0 as long as the node belongs to no cluster.
   Snapshot snapshot_;
+  /// Log entries after the snapshot.
   std::vector<Entry> entries_;
-  /// One line when a torn tail was cut, else empty.
+  /// Description of a truncated torn tail; empty when there was none.
   std::string cut_;
 };
 
--- a/include/citronlane/storage/write_ahead_log.h
+++ b/include/citronlane/storage/write_ahead_log.h
@@ -18,13 +18,13 @@
 namespace citronlane {
 
 /// Log entries and hard state on disk, in segment files that are only appended
-/// to. After a call failed, every later one fails too: what reached the disk is
-/// unknown then, and saying otherwise would lose committed entries. Not thread
-/// safe.
+/// to. After a failed call every later call fails too: it is then unknown which
+/// writes reached the disk, and acknowledging more could lose committed
+/// entries. Not thread safe.
 class WriteAheadLog {
  public:
-  /// `files` outlives the log. A segment is closed once it holds
-  /// `segment_bytes`.
+  /// `files` must outlive the log. A segment is closed once it holds
+  /// `segment_bytes` or more.
   WriteAheadLog(const FileSystem& files,
                 std::string folder,
                 uint64_t segment_bytes);
@@ -32,31 +32,35 @@
   WriteAheadLog(const WriteAheadLog&) = delete;
   WriteAheadLog& operator=(const WriteAheadLog&) = delete;
 
-  /// Reads the log, cuts a torn tail and begins a new segment. Call once,
-  /// before all else. A damaged middle is refused with file and offset.
+  /// Reads the log, truncates a torn tail and begins a new segment. Must be
+  /// called once, before the other methods. Fails when a segment is missing, or
+  /// when a record before the tail is damaged; `error` then names file and
+  /// offset.
   std::optional<RecoveredLog> Open(Error* error);
 
-  /// Writes one batch and syncs it once. Entries replace the stored log from
-  /// the first of them on.
+  /// Writes one batch and syncs it once, unless there is nothing to write. The
+  /// stored log is truncated before the first of `entries`, which have
+  /// consecutive indexes.
   bool Append(const std::optional<HardState>& hard_state,
               absl::Span<const Entry> entries,
               Error* error);
 
-  /// Notes that a snapshot of (`index`, `term`) is durable, and removes the
-  /// segments that hold nothing after it. `replaces_log` when it came from
-  /// another node and no stored entry counts any more.
+  /// Records that a snapshot of (`index`, `term`) is durable, and removes the
+  /// oldest segments as long as they hold no entry after it. `replaces_log`
+  /// must be set when the snapshot came from another node and the entries
+  /// stored here are void.
   bool MarkSnapshot(uint64_t index,
                     uint64_t term,
                     bool replaces_log,
                     Error* error);
 
-  /// Syncs done so far.
+  /// Number of batches written and synced so far, including failed ones.
   uint64_t sync_count() const { return sync_count_; }
 
  private:
   struct Segment {
     uint64_t number_ = 0;
-    /// Highest entry index ever written to it.
+    /// Highest entry index ever written to the segment.
     uint64_t max_index_ = 0;
   };
 
@@ -73,16 +77,17 @@
   const std::string folder_;
   const uint64_t segment_bytes_;
   std::deque<Segment> segments_;
+  /// Handle of the segment that is written to.
   std::optional<FileSystem::Handle> active_;
   uint64_t active_bytes_ = 0;
   bool failed_ = false;
 
   HardState hard_state_;
-  uint64_t mark_index_ = 0;
-  uint64_t mark_term_ = 0;
+  uint64_t snapshot_index_ = 0;
+  uint64_t snapshot_term_ = 0;
   uint64_t last_index_ = 0;
-  uint64_t batch_ = 1;
-  /// Kept between batches, so that writing one allocates nothing.
+  uint64_t next_batch_ = 1;
+  /// Encoded batch; kept so that its memory is reused.
   std::string buffer_;
   uint64_t sync_count_ = 0;
 };
--- a/src/storage/log_reader.cc
+++ b/src/storage/log_reader.cc
@@ -6,7 +6,7 @@
 namespace citronlane {
 namespace {
 
-std::string At(const std::string& name, size_t offset) {
+std::string Location(const std::string& name, size_t offset) {
   return name + " at offset " + std::to_string(offset);
 }
 
@@ -23,13 +23,13 @@
     const auto record = DecodeRecord(data.substr(offset), &size);
     if (!record) {
       if (!is_last || WasSynced(data, offset)) {
-        error->message_ = "damaged log record in " + At(name, offset);
+        error->message_ = "damaged log record in " + Location(name, offset);
         return std::nullopt;
       }
       return offset;
     }
     if (!Apply(*record, error)) {
-      error->message_ += " in " + At(name, offset);
+      error->message_ += " in " + Location(name, offset);
       return std::nullopt;
     }
     last_batch_ = record->batch_;
@@ -39,16 +39,17 @@
   return offset;
 }
 
-// A batch is begun only once the one before it was synced. So what is bad was
-// synced if any good record of a later batch follows it; otherwise the bytes
-// are those of a write that power or a crash cut off.
-bool LogReader::WasSynced(std::string_view data, size_t bad) const {
-  const uint64_t bad_batch = last_ended_batch_ ? last_batch_ + 1 : last_batch_;
-  for (size_t at = FindRecord(data, bad + 1); at != std::string_view::npos;
-       at = FindRecord(data, at + 1)) {
+// A batch is written only after the previous one was synced. The invalid bytes
+// were therefore synced if a valid record of a later batch follows them;
+// otherwise they belong to a write that a crash or power loss interrupted.
+bool LogReader::WasSynced(std::string_view data, size_t invalid_offset) const {
+  const uint64_t invalid_batch =
+      last_ended_batch_ ? last_batch_ + 1 : last_batch_;
+  for (size_t at = FindRecord(data, invalid_offset + 1);
+       at != std::string_view::npos; at = FindRecord(data, at + 1)) {
     size_t size = 0;
     const auto record = DecodeRecord(data.substr(at), &size);
-    if (record && record->batch_ > bad_batch) {
+    if (record && record->batch_ > invalid_batch) {
       return true;
     }
   }
@@ -71,7 +72,8 @@
       ApplySnapshotMark(record.index_, record.term_);
       return true;
     default:
-      error->message_ = "log record of unknown kind";
+      error->message_ = "unknown log record kind " +
+                        std::to_string(static_cast<int>(record.kind_));
       return false;
   }
 }
@@ -91,7 +93,8 @@
 bool LogReader::ApplyEntry(const Record& record, Error* error) {
   segment_max_index_ = std::max(segment_max_index_, record.index_);
   if (log_.entries_.empty() && record.index_ > last_index() + 1) {
-    // The segments before were removed for a snapshot that is marked later.
+    // The earlier segments were removed after a snapshot; its mark is in a
+    // later record.
     log_.base_index_ = record.index_ - 1;
     log_.base_term_ = 0;
     needs_mark_ = true;
--- a/src/storage/posix_file_system.cc
+++ b/src/storage/posix_file_system.cc
@@ -19,16 +19,16 @@
 
 constexpr mode_t kFileMode = 0600;
 
-void SetError(Error* error, std::string_view what, const std::string& path) {
+void SetError(Error* error, std::string_view action, const std::string& path) {
   const std::error_code code(errno, std::generic_category());
-  error->message_ = std::string(what) + " " + path + ": " + code.message();
+  error->message_ = std::string(action) + " " + path + ": " + code.message();
 }
 
 void SetError(Error* error,
-              std::string_view what,
+              std::string_view action,
               const std::string& path,
               const std::error_code& code) {
-  error->message_ = std::string(what) + " " + path + ": " + code.message();
+  error->message_ = std::string(action) + " " + path + ": " + code.message();
 }
 
 bool MakeFolder(const std::string& folder, Error* error) {
@@ -101,17 +101,18 @@
   return true;
 }
 
-// Opens, acts and closes, with the error of the step that failed.
-bool WithOpen(const std::string& path,
-              int flags,
-              const std::function<bool(int)>& act,
-              Error* error) {
+// Opens a file or folder, calls `action` with the descriptor and closes it.
+// `action` leaves the reason of a failure in errno.
+bool WithOpenFile(const std::string& path,
+                  int flags,
+                  const std::function<bool(int)>& action,
+                  Error* error) {
   const int handle = ::open(path.c_str(), flags | O_CLOEXEC);
   if (handle < 0) {
     SetError(error, "can not open", path);
     return false;
   }
-  const bool done = act(handle);
+  const bool done = action(handle);
   if (!done) {
     SetError(error, "can not sync", path);
   }
@@ -119,8 +120,8 @@
   return done;
 }
 
-bool Cut(const std::string& path, uint64_t size, Error* error) {
-  return WithOpen(
+bool Truncate(const std::string& path, uint64_t size, Error* error) {
+  return WithOpenFile(
       path, O_WRONLY,
       [size](int handle) {
         return ::ftruncate(handle, static_cast<off_t>(size)) == 0 &&
@@ -130,7 +131,7 @@
 }
 
 bool SyncFolder(const std::string& folder, Error* error) {
-  return WithOpen(
+  return WithOpenFile(
       folder, O_RDONLY | O_DIRECTORY,
       [](int handle) { return ::fsync(handle) == 0; }, error);
 }
@@ -180,7 +181,7 @@
   files.write_ = Write;
   files.sync_ = Sync;
   files.close_ = [](int handle) { ::close(handle); };
-  files.cut_ = Cut;
+  files.truncate_ = Truncate;
   files.rename_ = Rename;
   files.remove_ = Remove;
   files.sync_folder_ = SyncFolder;
--- a/src/storage/recover.cc
+++ b/src/storage/recover.cc
@@ -12,6 +12,7 @@
 
 using Finding = RecoveryReport::Finding;
 
+// Handle of the files that the read-only file system pretends to create.
 constexpr FileSystem::Handle kNoFile = -1;
 
 std::string ParentOf(const std::string& folder) {
@@ -29,11 +30,12 @@
   return folder;
 }
 
-std::string NameOf(const std::string& folder) {
+std::string BaseName(const std::string& folder) {
   return folder.substr(folder.find_last_of('/') + 1);
 }
 
-// Reads what is there; everything that would change it is left out.
+// Returns hooks that read and lock by `files`; those that would change the
+// folder do nothing and report success.
 FileSystem ReadOnly(const FileSystem& files) {
   FileSystem read_only;
   read_only.list_ = files.list_;
@@ -44,24 +46,24 @@
       close(handle);
     }
   };
-  const auto done = [](const auto&...) { return true; };
-  read_only.make_folder_ = done;
-  read_only.write_ = done;
-  read_only.sync_ = done;
-  read_only.cut_ = done;
-  read_only.rename_ = done;
-  read_only.remove_ = done;
-  read_only.sync_folder_ = done;
+  const auto succeed = [](const auto&...) { return true; };
+  read_only.make_folder_ = succeed;
+  read_only.write_ = succeed;
+  read_only.sync_ = succeed;
+  read_only.truncate_ = succeed;
+  read_only.rename_ = succeed;
+  read_only.remove_ = succeed;
+  read_only.sync_folder_ = succeed;
   read_only.create_ = [](const auto&...) {
     return std::optional<FileSystem::Handle>(kNoFile);
   };
   return read_only;
 }
 
-// First name beside the folder that is not taken.
-std::optional<std::string> FreeNameBeside(const FileSystem& files,
-                                          const std::string& folder,
-                                          Error* error) {
+// Returns the first path `<folder>.damaged-<number>` that does not exist.
+std::optional<std::string> UnusedDamagedPath(const FileSystem& files,
+                                             const std::string& folder,
+                                             Error* error) {
   const std::string path = WithoutSlash(folder);
   const auto taken = files.list_(ParentOf(path), error);
   if (!taken) {
@@ -69,14 +71,14 @@
   }
   for (int number = 1;; ++number) {
     const std::string suffix = ".damaged-" + std::to_string(number);
-    const std::string name = NameOf(path) + suffix;
+    const std::string name = BaseName(path) + suffix;
     if (std::find(taken->begin(), taken->end(), name) == taken->end()) {
       return path + suffix;
     }
   }
 }
 
-bool HoldsNothing(const std::vector<std::string>& names) {
+bool IsEmptyFolder(const std::vector<std::string>& names) {
   return names.empty() || (names.size() == 1 && names.front() == "lock");
 }
 
@@ -100,9 +102,10 @@
     return;
   }
   report->finding_ = Finding::kTornTail;
-  report->lines_.push_back("The next start would do this: " + state.cut_ + ".");
+  report->lines_.push_back("The next start repairs the log by " + state.cut_ +
+                           ".");
   report->lines_.emplace_back(
-      "Nothing that was acknowledged is lost by it: the node can start.");
+      "This loses no acknowledged data: the node can start.");
 }
 
 bool DescribeUntrusted(const FileSystem& files,
@@ -111,7 +114,7 @@
                        const std::string& reason,
                        RecoveryReport* report,
                        Error* error) {
-  const auto aside = FreeNameBeside(files, folder, error);
+  const auto aside = UnusedDamagedPath(files, folder, error);
   if (!aside) {
     return false;
   }
@@ -120,11 +123,12 @@
   report->lines_.push_back("The folder can not be trusted: " + reason + ".");
   report->lines_.push_back("Would rename " + folder + " to " + *aside + ".");
   report->lines_.push_back(
-      "After that, give this VM an id never used, start it empty, add it as a "
-      "learner, promote it, and remove node " +
+      "After that, give this VM an id that was never used, start it with an "
+      "empty folder, add it as a learner, promote it, and remove node " +
       std::to_string(id) + ".");
   report->lines_.emplace_back(
-      "If no other voter holds the state any more, stop and keep the folder.");
+      "If no other voter has a copy of the state, stop here and keep the "
+      "folder.");
   return true;
 }
 
@@ -139,11 +143,12 @@
   if (!names) {
     return std::nullopt;
   }
-  if (HoldsNothing(*names)) {
+  if (IsEmptyFolder(*names)) {
     report.lines_.emplace_back("The folder is empty: nothing to do.");
     return report;
   }
-  // Taken first: a folder in use is no damage.
+  // A folder in use must not be reported as damaged, so the lock is tried
+  // before the data is read.
   const auto lock = files.lock_(folder, error);
   if (!lock) {
     return std::nullopt;
@@ -170,7 +175,8 @@
                         const RecoveryReport& report,
                         Error* error) {
   if (report.finding_ != Finding::kUntrusted) {
-    error->message_ = "the folder need not be set aside";
+    error->message_ =
+        "folder " + folder + " is not damaged and need not be set aside";
     return false;
   }
   const std::string path = WithoutSlash(folder);
--- a/src/storage/replica_storage.cc
+++ b/src/storage/replica_storage.cc
@@ -13,7 +13,7 @@
 constexpr std::string_view kIdentityName = "identity";
 constexpr std::string_view kLockName = "lock";
 // Payload of the identity record once the node is a member of a cluster.
-constexpr std::string_view kMember = "member";
+constexpr std::string_view kMemberPayload = "member";
 
 }  // namespace
 
@@ -97,21 +97,21 @@
     return false;
   }
   incarnation_ = record->term_;
-  is_member_ = record->payload_ == kMember;
+  is_member_ = record->payload_ == kMemberPayload;
   return true;
 }
 
 bool ReplicaStorage::SaveIdentity(Error* error) {
   std::string content;
   EncodeRecord(Record{RecordKind::kIdentity, true, 0, incarnation_, id_,
-                      is_member_ ? kMember : std::string_view()},
+                      is_member_ ? kMemberPayload : std::string_view()},
                &content);
   return WriteDurableFile(files_, folder_, std::string(kIdentityName), content,
                           error);
 }
 
-// A crash may fall between any two steps of SaveSnapshot; what it leaves is
-// completed here. Anything else that is gone was lost, and is refused.
+// Completes a SaveSnapshot that a crash interrupted between two of its steps.
+// Any other missing file is lost data, and an error.
 bool ReplicaStorage::Reconcile(const RecoveredLog& log,
                                const Snapshot& snapshot,
                                Error* error) {
--- a/src/storage/snapshot_store.cc
+++ b/src/storage/snapshot_store.cc
@@ -17,7 +17,7 @@
 constexpr std::string_view kPrefix = "snapshot-";
 constexpr int kHexDigits = 16;
 
-std::string NameOf(uint64_t index) {
+std::string FileName(uint64_t index) {
   char digits[kHexDigits + 1];
   std::snprintf(digits, sizeof(digits), "%016" PRIx64, index);
   return std::string(kPrefix) + digits;
@@ -85,7 +85,7 @@
     : files_(files), folder_(std::move(folder)) {}
 
 bool SnapshotStore::Save(const Snapshot& snapshot, Error* error) {
-  return WriteDurableFile(files_, folder_, NameOf(snapshot.index_),
+  return WriteDurableFile(files_, folder_, FileName(snapshot.index_),
                           Encode(snapshot), error);
 }
 
@@ -108,7 +108,7 @@
     return std::nullopt;
   }
   auto snapshot = Decode(*content);
-  if (!snapshot || NameOf(snapshot->index_) != newest) {
+  if (!snapshot || FileName(snapshot->index_) != newest) {
     error->message_ = "damaged snapshot " + folder_ + "/" + newest;
     return std::nullopt;
   }
@@ -120,9 +120,9 @@
   if (!names) {
     return false;
   }
-  const std::string kept = NameOf(index);
+  const std::string oldest_kept = FileName(index);
   for (const std::string& name : *names) {
-    const bool old = IsSnapshotName(name) && name < kept;
+    const bool old = IsSnapshotName(name) && name < oldest_kept;
     if ((old || IsUnfinished(name)) &&
         !files_.remove_(folder_ + "/" + name, error)) {
       return false;
--- a/src/storage/write_ahead_log.cc
+++ b/src/storage/write_ahead_log.cc
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::string_view kSuffix = ".wal";
-constexpr int kHexadecimal = 16;
+constexpr int kHexBase = 16;
+constexpr int kHexDigits = 16;
 
 std::optional<uint64_t> SegmentNumber(std::string_view name) {
   if (name.size() <= kSuffix.size() ||
@@ -20,7 +21,7 @@
   }
   const std::string digits(name.substr(0, name.size() - kSuffix.size()));
   char* end = nullptr;
-  const uint64_t number = std::strtoull(digits.c_str(), &end, kHexadecimal);
+  const uint64_t number = std::strtoull(digits.c_str(), &end, kHexBase);
   if (*end != '\0') {
     return std::nullopt;
   }
@@ -78,16 +79,17 @@
       return false;
     }
     const bool is_last = i + 1 == segments_.size();
-    const auto good = reader.Read(path, *data, is_last, error);
-    if (!good) {
+    const auto valid_bytes = reader.Read(path, *data, is_last, error);
+    if (!valid_bytes) {
       return false;
     }
     segment.max_index_ = reader.segment_max_index();
-    if (*good < data->size()) {
-      reader.log().cut_ = "cut a torn tail of " +
-                          std::to_string(data->size() - *good) + " bytes in " +
-                          path + " at offset " + std::to_string(*good);
-      if (!files_.cut_(path, *good, error)) {
+    if (*valid_bytes < data->size()) {
+      reader.log().cut_ = "truncating a torn tail of " +
+                          std::to_string(data->size() - *valid_bytes) +
+                          " bytes in " + path + " at offset " +
+                          std::to_string(*valid_bytes);
+      if (!files_.truncate_(path, *valid_bytes, error)) {
         return false;
       }
     }
@@ -100,15 +102,15 @@
   *log = std::move(reader.log());
   log->is_new_ = segments_.empty();
   hard_state_ = log->hard_state_;
-  mark_index_ = log->base_index_;
-  mark_term_ = log->base_term_;
+  snapshot_index_ = log->base_index_;
+  snapshot_term_ = log->base_term_;
   last_index_ = log->base_index_ + log->entries_.size();
-  batch_ = reader.next_batch();
+  next_batch_ = reader.next_batch();
   return true;
 }
 
 std::string WriteAheadLog::PathOf(uint64_t number) const {
-  char name[kHexadecimal + 1];
+  char name[kHexDigits + 1];
   std::snprintf(name, sizeof(name), "%016" PRIx64, number);
   return folder_ + "/" + name + std::string(kSuffix);
 }
@@ -140,8 +142,8 @@
 Record WriteAheadLog::SnapshotMarkRecord() const {
   Record record;
   record.kind_ = RecordKind::kSnapshotMark;
-  record.term_ = mark_term_;
-  record.index_ = mark_index_;
+  record.term_ = snapshot_term_;
+  record.index_ = snapshot_index_;
   return record;
 }
 
@@ -149,10 +151,10 @@
   buffer_.clear();
   records.back().ends_batch_ = true;
   for (Record& record : records) {
-    record.batch_ = batch_;
+    record.batch_ = next_batch_;
     EncodeRecord(record, &buffer_);
   }
-  ++batch_;
+  ++next_batch_;
   ++sync_count_;
   active_bytes_ += buffer_.size();
   return files_.write_(*active_, buffer_, error) &&
@@ -161,7 +163,8 @@
 
 bool WriteAheadLog::IsUsable(Error* error) const {
   if (failed_ || !active_) {
-    error->message_ = "the log failed before";
+    error->message_ = "log in " + folder_ +
+                      " can not be used: it is not open or a call failed";
     return false;
   }
   return true;
@@ -209,8 +212,8 @@
   if (!IsUsable(error)) {
     return false;
   }
-  mark_index_ = index;
-  mark_term_ = term;
+  snapshot_index_ = index;
+  snapshot_term_ = term;
   last_index_ = replaces_log ? index : std::max(last_index_, index);
   failed_ = !WriteBatch({SnapshotMarkRecord()}, error) ||
             !BeginSegment(error) || !RemoveOldSegments(index, error);
--- a/tests/support/memory_disk.cc
+++ b/tests/support/memory_disk.cc
@@ -95,7 +95,8 @@
     return true;
   };
   files.close_ = [this](int handle) { handles_.erase(handle); };
-  files.cut_ = [this](const std::string& path, uint64_t size, Error* error) {
+  files.truncate_ = [this](const std::string& path, uint64_t size,
+                           Error* error) {
     if (Fails(error)) {
       return false;
     }
--- a/tests/unit-power-cut.cc
+++ b/tests/unit-power-cut.cc
@@ -11,10 +11,11 @@
 namespace citronlane {
 namespace {
 
-/// Seeded numbers, the same on every machine.
-class Numbers {
+/// Seeded pseudo-random numbers, the same on every machine.
+class RandomNumbers {
  public:
-  explicit Numbers(uint64_t seed) : state_(seed * 0x9E3779B97F4A7C15ULL + 1) {}
+  explicit RandomNumbers(uint64_t seed)
+      : state_(seed * 0x9E3779B97F4A7C15ULL + 1) {}
   uint64_t operator()(uint64_t below) {
     state_ ^= state_ << 13;
     state_ ^= state_ >> 7;
@@ -26,7 +27,7 @@
   uint64_t state_;
 };
 
-/// What a disk must hold after the calls that succeeded.
+/// Expected content of the disk after the calls that succeeded.
 struct Model {
   HardState hard_state_;
   uint64_t base_ = 0;
@@ -77,13 +78,13 @@
          SameEntries(state.entries_, model.entries_);
 }
 
-/// Random calls on a storage, with the states that a crash may leave: the one
-/// before the call that failed, after it, and the steps between.
+/// Makes random calls on a storage and keeps the states that a crash may leave:
+/// those before and after the failed call, and those between its steps.
 class Workload {
  public:
   Workload(MemoryDisk* disk, uint64_t seed) : disk_(*disk), numbers_(seed) {}
 
-  /// Opens and makes `calls` calls. False when one failed.
+  /// Opens the storage and makes `calls` calls. Returns false when one failed.
   bool Run(int calls) {
     storage_ = MakeStorage(&disk_);
     Error error;
@@ -138,25 +139,25 @@
       ++term;
     }
     const auto entries = Entries(first, numbers_(5), term);
-    NoteSteps(hard_state, entries);
+    AddPartialStates(hard_state, entries);
     model_.Append(hard_state, entries);
     Error error;
     return storage_->Append(hard_state, entries, &error);
   }
 
   // A torn write leaves a prefix of: hard state, truncation, each entry.
-  void NoteSteps(const std::optional<HardState>& hard_state,
-                 const std::vector<Entry>& entries) {
-    Model step = model_;
-    step.Append(hard_state, {});
-    possible_.push_back(step);
+  void AddPartialStates(const std::optional<HardState>& hard_state,
+                        const std::vector<Entry>& entries) {
+    Model partial = model_;
+    partial.Append(hard_state, {});
+    possible_.push_back(partial);
     for (size_t i = 0; i < entries.size(); ++i) {
       if (i == 0) {
-        step.entries_.resize(entries[0].index_ - step.base_ - 1);
-        possible_.push_back(step);
+        partial.entries_.resize(entries[0].index_ - partial.base_ - 1);
+        possible_.push_back(partial);
       }
-      step.Append(std::nullopt, {entries[i]});
-      possible_.push_back(step);
+      partial.Append(std::nullopt, {entries[i]});
+      possible_.push_back(partial);
     }
   }
 
@@ -168,7 +169,7 @@
   }
 
   MemoryDisk& disk_;
-  Numbers numbers_;
+  RandomNumbers numbers_;
   std::unique_ptr<ReplicaStorage> storage_;
   Model model_;
   std::vector<Model> possible_ = {Model{}};
@@ -187,7 +188,7 @@
       disk.FailAt(call, MemoryDisk::Failure::kPowerCut);
       Workload workload(&disk, seed);
       done = workload.Run(kCalls);
-      Numbers numbers(seed * 1000 + call);
+      RandomNumbers numbers(seed * 1000 + call);
       disk.CutPower([&](uint64_t below) { return numbers(below); });
       ++cuts;
       INFO("seed " << seed << ", call " << call);
@@ -196,7 +197,7 @@
       INFO(error.message_);
       REQUIRE(state);
       REQUIRE(workload.IsPossible(*state));
-      // What the first start mended, the second finds in order.
+      // The repairs of the first start are complete: a second one succeeds too.
       REQUIRE(MakeStorage(&disk)->Open(kNode, &error));
     }
   }
--- a/tests/unit-recovery.cc
+++ b/tests/unit-recovery.cc
@@ -41,23 +41,24 @@
   }
   const auto size = fs::file_size(log);
 
-  SECTION("of a folder in order") {
+  SECTION("of a healthy folder") {
     const RecoveryReport report = inspect();
     CHECK(report.finding_ == Finding::kHealthy);
     CHECK(report.lines_[1] ==
           "It holds a snapshot up to entry 1 with 1 voters, and 4 entries "
           "after it.");
     CHECK_FALSE(SetDataFolderAside(files, folder, report, &error));
-    // The settings are wrong then, not the folder.
+    // A wrong node id is an error of the settings, not damage to the folder.
     CHECK_FALSE(InspectDataFolder(files, folder, kNode + 1, &error));
   }
   SECTION("of a torn tail changes nothing") {
     fs::resize_file(log, size - 1);
     CHECK(inspect().finding_ == Finding::kTornTail);
-    CHECK(inspect().lines_[2].find("cut a torn tail of ") != std::string::npos);
+    CHECK(inspect().lines_[2].find("truncating a torn tail of ") !=
+          std::string::npos);
     CHECK(fs::file_size(log) == size - 1);
   }
-  SECTION("of a damaged folder says what it would do, then does it") {
+  SECTION("of a damaged folder names the new path, and the folder is moved") {
     fs::remove(folder + "/identity");
     fs::create_directories(folder + ".damaged-1");
     const RecoveryReport report = inspect();
--- a/tests/unit-storage.cc
+++ b/tests/unit-storage.cc
@@ -14,7 +14,7 @@
   return MakeStorage(disk)->Open(id, &error) ? "" : error.message_;
 }
 
-/// A disk with a member's snapshot and one batch of two entries, then another.
+/// Stores a member's snapshot, a batch of two entries and a batch of one.
 void Fill(MemoryDisk* disk) {
   Error error;
   const auto storage = MakeStorage(disk);
@@ -52,7 +52,7 @@
       const bool stored =
           storage->Append(std::nullopt, Entries(2 + i, 1, 1), &error);
       INFO("call " << call << ", entry " << 2 + i);
-      // Once it failed it never says again that something is stored.
+      // After a failed call no later one reports success.
       REQUIRE((!failed || !stored));
       failed = !stored;
     }
@@ -65,13 +65,14 @@
   Fill(&disk);
   const std::string path = LastPath(disk, ".wal");
   std::string& log = disk.Content(path);
-  const std::string whole = log;
-  // The last batch is one record: the 40 bytes of its header and its payload.
-  const size_t last_batch = whole.size() - 40 - std::string("entry 4").size();
+  const std::string undamaged = log;
+  // The last batch is one record: a header of 40 bytes and the payload.
+  const size_t last_batch =
+      undamaged.size() - 40 - std::string("entry 4").size();
 
   SECTION("in the middle of the log is refused with file and offset") {
     for (size_t at = 0; at < last_batch; ++at) {
-      log = whole;
+      log = undamaged;
       log[at] = static_cast<char>(log[at] ^ 0x40);
       const std::string reason = Open(&disk);
       INFO(at);
@@ -79,8 +80,8 @@
               0);
     }
   }
-  SECTION("at the end of the log counts as a torn write and is cut") {
-    for (size_t size = last_batch + 1; size < whole.size(); ++size) {
+  SECTION("at the end of the log counts as a torn write and is truncated") {
+    for (size_t size = last_batch + 1; size < undamaged.size(); ++size) {
       MemoryDisk other;
       Fill(&other);
       other.Content(path).resize(size);
@@ -94,9 +95,9 @@
   SECTION("in a snapshot is refused with the file") {
     const std::string snapshot = LastPath(disk, "snapshot-");
     std::string& content = disk.Content(snapshot);
-    const std::string good = content;
-    for (size_t at = 0; at < good.size(); ++at) {
-      content = good;
+    const std::string undamaged_snapshot = content;
+    for (size_t at = 0; at < undamaged_snapshot.size(); ++at) {
+      content = undamaged_snapshot;
       content[at] = static_cast<char>(content[at] ^ 1);
       REQUIRE(Open(&disk) == "damaged snapshot " + snapshot);
     }
@@ -108,7 +109,7 @@
       }
       CHECK(Open(&disk) == "log or snapshot is missing in data");
     }
-    SECTION("first part of the log") {
+    SECTION("first segment of the log") {
       Error error;
       const auto storage = MakeStorage(&disk);
       REQUIRE(storage->Open(kNode, &error));
@@ -169,7 +170,7 @@
     log_bytes += is_snapshot ? 0 : disk.Content(path).size();
   }
   CHECK(snapshots == 1);
-  // A tail of at most one interval and one segment, at under 60 bytes each.
+  // A tail of at most one interval, at under 60 bytes an entry, and a segment.
   CHECK(log_bytes < kInterval * 60 + kSegmentBytes);
 }
 
