--- a/include/citronlane/storage/file_system.h
+++ b/include/citronlane/storage/file_system.h
@@ -38,7 +38,7 @@
   std::function<void(Handle)> close_;
   /// Truncates the file to `size` bytes and syncs it.
   std::function<bool(const std::string& path, uint64_t size, Error*)> truncate_;
-  /// Replaces `to` if it exists; durable after `sync_folder_`.
+  /// Replaces an existing file `to`; durable after `sync_folder_`.
   std::function<bool(const std::string& from, const std::string& to, Error*)>
       rename_;
   std::function<bool(const std::string& path, Error*)> remove_;
--- a/include/citronlane/storage/recover.h
+++ b/include/citronlane/storage/recover.h
@@ -13,9 +13,9 @@
 
 /// Reads the data folder of node `id` as ReplicaStorage::Open does, without
 /// changing its data, and reports what the operator has to do. Returns
-/// `std::nullopt` and sets `error` when the folder is locked by another
-/// process, belongs to another node, or can not be listed. Thread safe if the
-/// hooks are.
+/// `std::nullopt` and sets `error` when the folder belongs to another node, or
+/// can not be listed or locked, for instance while another process uses it.
+/// Thread safe if the hooks are.
 std::optional<RecoveryReport> InspectDataFolder(const FileSystem& files,
                                                 const std::string& folder,
                                                 uint64_t id,
--- a/include/citronlane/storage/replica_storage.h
+++ b/include/citronlane/storage/replica_storage.h
@@ -38,8 +38,8 @@
   /// Locks the folder, creating it if needed, and reads it. An empty folder
   /// gets the identity `id` and a new incarnation. Fails when the folder is
   /// locked by another process or belongs to another id, and when data that was
-  /// once synced is damaged or missing; `error` then names the file, and the
-  /// offset of damage in the log. Must be called once, before the other
+  /// once synced is damaged or missing; `error` then names the file or folder,
+  /// and the offset of damage in the log. Must be called once, before the other
   /// methods.
   std::optional<StoredState> Open(uint64_t id, Error* error);
 
