--- a/tests/unit-fuzz-platform.cc
+++ b/tests/unit-fuzz-platform.cc
@@ -32,7 +32,7 @@
     "99999999999999999999",
     "-1,,:,:5,a:b:c",
     "1e99"};
-constexpr const char* kPieces[] = {"{",    "}",    "[",     "]",   ":",
+constexpr const char* kTokens[] = {"{",    "}",    "[",     "]",   ":",
                                    ",",    "\"",   "\\",    "\n",  "\r\n\r\n",
                                    "null", "-1",   "1e999", "0.5", "\xff",
                                    "id: ", "true", "[]",    "{}",  "0"};
@@ -44,7 +44,7 @@
     const size_t at = below(text.size() + 1);
     switch (below(4)) {
       case 0:
-        text.insert(at, kPieces[below(std::size(kPieces))]);
+        text.insert(at, kTokens[below(std::size(kTokens))]);
         break;
       case 1:
         text.erase(at, 1 + below(8));
@@ -70,7 +70,7 @@
 }  // namespace
 
 TEST_CASE("decoders of the platform survive any bytes") {
-  SECTION("documents: a configuration without faults, or faults") {
+  SECTION("documents: either a configuration or validation errors") {
     ForEachMutation([](const std::string& text) {
       std::vector<std::string> faults;
       const auto config = ReadConfig(text, &faults);
@@ -104,12 +104,12 @@
       ReadReply(200, headers);
     });
   }
-  SECTION("event streams: what comes out is a beginning of what went in") {
+  SECTION("event streams: the output is a prefix of the input") {
     ForEachMutation([](const std::string& text) {
       EventSplitter splitter(std::nullopt);
-      std::string whole;
-      splitter.Feed(text, &whole);
-      REQUIRE(text.compare(0, whole.size(), whole) == 0);
+      std::string output;
+      splitter.Feed(text, &output);
+      REQUIRE(text.compare(0, output.size(), output) == 0);
     });
   }
   SECTION("frames of the fleet's own protocol") {
--- a/tests/unit-platform.cc
+++ b/tests/unit-platform.cc
@@ -78,7 +78,7 @@
 TEST_CASE("platform documents") {
   std::vector<std::string> faults;
 
-  SECTION("every field lands where it belongs") {
+  SECTION("every field is read") {
     const auto config = ReadConfig(kDocument, &faults);
     REQUIRE(config);
     CHECK(config->version() == 7);
@@ -114,11 +114,11 @@
 
   SECTION("what can't be read is refused") {
     CHECK(IsRefused(std::string(kDocument).substr(0, 500), "can't be read"));
-    CHECK(IsRefused("[]", "no object"));
+    CHECK(IsRefused("[]", "not an object"));
     CHECK(IsRefused("", "can't be read"));
     CHECK(IsRefused("{\"version\":1}", "routes are missing"));
   }
-  SECTION("a version that is no whole number") {
+  SECTION("a version that is not a whole number") {
     CHECK(IsRefused(Replaced(kDocument, "\"version\": 7", "\"version\": 7.5"),
                     "version"));
     CHECK(IsRefused(Replaced(kDocument, "\"version\": 7", "\"version\": \"7\""),
@@ -129,7 +129,7 @@
                              "\"service\": \"x\", \"max"),
                     "unknown service"));
   }
-  SECTION("two routes at the same place") {
+  SECTION("two routes with the same host and prefix") {
     CHECK(IsRefused(Replaced(kDocument, "\"/b/\"", "\"/a/\""),
                     "host and prefix"));
   }
@@ -151,7 +151,7 @@
         Replaced(kDocument, "\"timeout_ms\": 1500", "\"timeout_ms\": \"1500\""),
         "wrong type"));
   }
-  SECTION("a kind that is not known") {
+  SECTION("an unknown kind") {
     CHECK(IsRefused(Replaced(kDocument, "\"unsafe\"", "\"odd\""), "kind"));
   }
 }
@@ -171,7 +171,7 @@
       {"Last-Event-Id", "12"},
       {"X-Own", "kept"}};
 
-  SECTION("a caller's head is read") {
+  SECTION("a caller's headers are read") {
     const RequestHead head = ReadRequest(caller);
     CHECK(head.request_id_ == "9c41d07be2a35f68");
     CHECK(head.host_ == "h.example");
@@ -234,7 +234,7 @@
     }
   }
 
-  SECTION("a time left is never sent as 0, which could mean none") {
+  SECTION("a remaining time is never sent as 0, which could mean no limit") {
     ServerCallHead head;
     head.time_left_ = Duration(10);
     CHECK(ValueOf(WriteCall({}, head), "X-Citronlane-Deadline-Ms") == "1");
@@ -321,7 +321,7 @@
                     &error);
   };
 
-  SECTION("name no server; the others hold") {
+  SECTION("are skipped and counted; the other entries are used") {
     for (const std::string& entry :
          {std::string("{}"),
           std::string("null"),
@@ -354,7 +354,7 @@
       CHECK(page->next_ == "p-2");
     }
   }
-  SECTION("whose bytes can't be read, among others that can") {
+  SECTION("that are not valid JSON do not affect the other entries") {
     for (const std::string& entry :
          {Replaced(good, "i-1", "i-\xff\xfe"), Replaced(good, "8}", "8,}"),
           Replaced(good, "8}", "8,\"slots\":9}"), Replaced(good, "8}", "x}"),
@@ -443,7 +443,7 @@
     CHECK(settings->repeat_extra_ == 56);
     CHECK(settings->server_list_rate_ == 44.0);
   }
-  SECTION("a gateway beside it has a port of its own") {
+  SECTION("a gateway listens on the next port") {
     const auto settings =
         ReadSettings(Replaced(text, "\"control\": \"10.1.0.36:8628\"",
                               "\"front\": \"10.1.0.36:8625\", "
@@ -454,7 +454,7 @@
     CHECK(settings->ready_listen_ == "10.1.0.36:8621");
     CHECK(settings->internal_listen_ == "10.1.0.36:7741");
   }
-  SECTION("what can't be used has a reason") {
+  SECTION("unusable settings are refused with a reason") {
     CHECK_FALSE(ReadSettings("{}", &error));
     CHECK_FALSE(error.message_.empty());
     CHECK_FALSE(ReadSettings(text.substr(0, 100), &error));
