--- a/include/citronlane/json/fault.h
+++ b/include/citronlane/json/fault.h
@@ -8,13 +8,13 @@
 
 namespace citronlane {
 
-/// One thing wrong with a document.
+/// A validation error of a document.
 struct Fault {
   /// Path of the key from the root, e.g. "classes.chat.attainment".
   std::string path_;
   /// Line in the document, counted from 1; 0 when there is none.
   int line_ = 0;
-  /// What is wrong and what is allowed.
+  /// Describes the error and the allowed values.
   std::string message_;
 };
 
--- a/include/citronlane/json/object_reader.h
+++ b/include/citronlane/json/object_reader.h
@@ -16,10 +16,12 @@
 
 namespace citronlane {
 
-/// Reads the members of one JSON object by name and collects every fault
-/// instead of stopping at the first: wrong type, out of range, missing, and, in
-/// Finish(), unknown keys. A member that is absent or wrong leaves the output
-/// as it was. Not thread safe.
+/// Reads the members of one JSON object by name and collects all validation
+/// errors instead of stopping at the first: wrong type, out of range, missing,
+/// and, in Finish(), unknown keys. A member that is absent or invalid leaves
+/// the output unchanged; a list gets its valid items. The read methods return
+/// whether they set the output or, if they take a hook, whether the member has
+/// the required type. Not thread safe.
 class ObjectReader {
  public:
   enum class Need { kOptional, kRequired };
@@ -27,23 +29,23 @@
   using ItemHook = std::function<void(size_t index, ObjectReader&)>;
 
   /// `value` and `faults` must outlive the reader; `path` is the path of
-  /// `value` from the root. A value that is no object is a fault.
+  /// `value` from the root. Reports a fault when `value` is not an object.
   ObjectReader(const JsonValue& value,
                std::string path,
                std::vector<Fault>* faults);
   ObjectReader(const ObjectReader&) = delete;
   ObjectReader& operator=(const ObjectReader&) = delete;
 
-  /// A text that is not empty.
+  /// A string that is not empty.
   bool String(std::string_view key, Need need, std::string* out);
-  /// A text out of `allowed`.
+  /// One of the strings in `allowed`.
   bool Choice(std::string_view key,
               Need need,
               absl::Span<const std::string_view> allowed,
               std::string* out);
   /// 1 to 64 letters, digits, '.', '_' or '-'.
   bool Name(std::string_view key, Need need, std::string* out);
-  /// An IPv4 or IPv6 number.
+  /// An IPv4 or IPv6 address; host names are refused.
   bool IpAddress(std::string_view key, Need need, std::string* out);
   /// "IP:port", IPv6 in brackets.
   bool Endpoint(std::string_view key, Need need, std::string* out);
@@ -54,7 +56,7 @@
               double low,
               double high,
               double* out);
-  /// A whole number from `low` to `high`, which fit the type.
+  /// A whole number from `low` to `high`; both must fit `Integer`.
   template <typename Integer>
   bool Whole(std::string_view key,
              Need need,
@@ -74,26 +76,29 @@
                     uint64_t low,
                     uint64_t high,
                     Duration* out);
-  /// An array of texts that are not empty, each once.
+  /// An array of strings that are not empty, without duplicates.
   bool Strings(std::string_view key, Need need, std::vector<std::string>* out);
-  /// An array of "IP:port", each once.
+  /// An array of "IP:port", without duplicates.
   bool Endpoints(std::string_view key,
                  Need need,
                  std::vector<std::string>* out);
-  /// A nested object; `read` gets its reader, Finish() is called after it.
+  /// A nested object. Calls `read` with a reader for it, then Finish().
   bool Object(std::string_view key,
               Need need,
               const std::function<void(ObjectReader&)>& read);
-  /// An object keyed by name, every member an object.
+  /// An object whose keys are names and whose members are objects. Calls `read`
+  /// with a reader for each, then Finish().
   bool Entries(std::string_view key, Need need, const EntryHook& read);
-  /// An array of `low` to `high` objects.
+  /// An array of `low` to `high` objects. Calls `read` with a reader for each,
+  /// then Finish().
   bool Items(std::string_view key,
              Need need,
              size_t low,
              size_t high,
              const ItemHook& read);
 
-  /// Reports every member that was never asked for. Call once, last.
+  /// Reports every member that no read method named. To be called once, after
+  /// all of them.
   void Finish();
 
   /// Reports a fault of this object's member `key`, or of the object itself
@@ -106,8 +111,8 @@
   int LineOf(std::string_view key) const;
 
  private:
-  const JsonValue* Take(std::string_view key, Need need);
-  const std::string* TakeString(std::string_view key, Need need);
+  const JsonValue* GetMember(std::string_view key, Need need);
+  const std::string* GetString(std::string_view key, Need need);
   bool StringList(std::string_view key,
                   Need need,
                   std::string_view rule,
@@ -122,7 +127,8 @@
   const JsonValue& value_;
   const std::string path_;
   std::vector<Fault>* const faults_;
-  std::vector<std::string> known_;
+  /// Keys that the read methods named.
+  std::vector<std::string> known_keys_;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/json/parse.h
+++ b/include/citronlane/json/parse.h
@@ -17,19 +17,21 @@
 /// Most values one document may hold; bounds the memory of a parse.
 constexpr int kMaxJsonValues = 500'000;
 
-/// Reads JSON; `//` and `/* */` comments are allowed. Refuses a name that an
-/// object holds twice, invalid UTF-8, and nesting beyond kMaxJsonDepth. Returns
-/// nothing and sets `fault` when the text is wrong. Thread safe.
+/// Parses JSON; `//` and `/* */` comments are allowed. Refuses duplicate names
+/// in an object, invalid UTF-8, nesting beyond kMaxJsonDepth and more than
+/// kMaxJsonValues values. Returns `std::nullopt` and sets `fault` on failure.
+/// Thread safe.
 std::optional<JsonValue> ParseJson(std::string_view text, Fault* fault);
 
-/// Reads as ParseJson does, but goes on after a name that stands twice: adds a
-/// fault for each and keeps the first value. Returns nothing only when the text
-/// is no JSON. `faults` must not be null. Thread safe.
+/// Parses as ParseJson does, but continues after a duplicate name: adds a fault
+/// for each and keeps the first value. Returns `std::nullopt` for any other
+/// error. `faults` must not be null. Thread safe.
 std::optional<JsonValue> ParseJsonCollecting(std::string_view text,
                                              std::vector<Fault>* faults);
 
-/// Writes compact JSON; whole numbers are written without a fraction, members
-/// in their order. Thread safe.
+/// Writes compact JSON, members in their order. Whole numbers that a double
+/// represents exactly are written without a fraction, numbers that are not
+/// finite as null. Thread safe.
 std::string WriteJson(const JsonValue& value);
 
 /// Applies an RFC 7396 merge patch: null removes, objects merge, anything else
--- a/include/citronlane/json/text_range.h
+++ b/include/citronlane/json/text_range.h
@@ -7,31 +7,33 @@
 
 namespace citronlane {
 
-/// Place of a JSON value in its document's text, found by brackets and quotes
-/// alone: what lies between them is not checked, and comments are not
-/// understood.
+/// Position of a JSON value in its document's text. The functions below find it
+/// by brackets and quotes only: they do not validate the text between them and
+/// do not support comments.
 struct TextRange {
   size_t begin_ = 0;
-  /// Behind the value's last character.
+  /// Position after the value's last character.
   size_t end_ = 0;
 };
 
-/// First place from `begin` on that is no white space; the text's size when
-/// there is none. Thread safe.
+/// Returns the first position from `begin` on that is not white space, or the
+/// text's size. Thread safe.
 size_t SkipSpace(std::string_view text, size_t begin);
 
-/// The value that begins at `begin`. Nothing when the text ends before it does,
-/// or a comment begins in it. Thread safe.
+/// Returns the range of the value that begins at `begin`; `std::nullopt` when
+/// the text ends before the value does, or an array or object has a comment in
+/// it. Thread safe.
 std::optional<TextRange> FindValue(std::string_view text, size_t begin);
 
-/// Where the value of the object's first member of that name begins; what
-/// follows is not looked at. Nothing when `text` is no object or has no such
-/// member. Thread safe.
+/// Returns the position at which the value of the first member called `name`
+/// begins; the text after it is not read. Returns `std::nullopt` when `text` is
+/// not an object or no such member is found. Thread safe.
 std::optional<size_t> FindMemberBegin(std::string_view text,
                                       std::string_view name);
 
-/// Value of the object's member of that name. Nothing when `text` is no object,
-/// or has no such member or two of them. Thread safe.
+/// Returns the range of the value of the member called `name`; `std::nullopt`
+/// when `text` is not an object, or has no or several such members. Thread
+/// safe.
 std::optional<TextRange> FindMember(std::string_view text,
                                     std::string_view name);
 
--- a/include/citronlane/json/value.h
+++ b/include/citronlane/json/value.h
@@ -8,8 +8,8 @@
 
 namespace citronlane {
 
-/// A JSON value that knows the line it was read from. Members keep their
-/// order. Not thread safe for writers; readers may share a const value.
+/// A JSON value with the line from which it was read. Members keep their order.
+/// Const methods are thread safe as long as no other method is called.
 class JsonValue {
  public:
   enum class Type { kNull, kBool, kNumber, kString, kArray, kObject };
@@ -37,8 +37,8 @@
   const std::vector<JsonValue>& items() const { return items_; }
   const std::vector<Member>& members() const { return members_; }
 
-  /// Returns the member of that name, or null when this is no object or has
-  /// none.
+  /// Returns the member of that name, or null when this is not an object or has
+  /// no such member.
   const JsonValue* Find(std::string_view name) const;
 
   /// Precondition: an object. Replaces a member of the same name.
@@ -50,6 +50,7 @@
   /// Precondition: an array.
   void Append(JsonValue value);
 
+  /// Line in the document, counted from 1; 0 when it was not parsed.
   int line() const { return line_; }
   void set_line(int line) { line_ = line; }
 
--- a/include/citronlane/settings/detail/shared_settings.h
+++ b/include/citronlane/settings/detail/shared_settings.h
@@ -12,8 +12,9 @@
 
 namespace citronlane::detail {
 
-/// Parses the text, reads the section `name` by `read`, and "log". Returns
-/// whether there was no fault; faults are in document order.
+/// Parses the text and reads its section `name` by `read` and its section "log"
+/// into `log`. Returns whether there was no validation error; replaces the
+/// content of `faults` by the errors in document order. Thread safe.
 bool ReadSettings(std::string_view text,
                   std::string_view name,
                   const std::string& path,
@@ -21,8 +22,10 @@
                   LogOptions* log,
                   std::vector<Fault>* faults);
 
-/// Reads {"certificate", "private_key", "ca"} and checks the key file.
-/// `need_ca` says whether the other side must show a certificate too.
+/// Reads the optional member `key`, an object {"certificate", "private_key",
+/// "ca"}, and checks that the files can be used. `need_ca` is kRequired when
+/// the certificates of peers are verified. `path` is the settings file. Thread
+/// safe for different readers.
 void ReadTls(std::string_view key,
              ObjectReader::Need need_ca,
              const std::string& path,
--- a/include/citronlane/settings/files.h
+++ b/include/citronlane/settings/files.h
@@ -12,20 +12,22 @@
 /// Largest settings or configuration file that is read.
 constexpr size_t kMaxFileBytes = 16ULL * 1024 * 1024;
 
-/// Returns the content of a regular file of at most kMaxFileBytes. Thread safe.
+/// Returns the content of a regular file of at most kMaxFileBytes;
+/// `std::nullopt` with the path and the reason in `error` on failure. Thread
+/// safe.
 std::optional<std::string> ReadFile(const std::string& path, Error* error);
 
-/// Returns the content of a file with a secret, without white space at its
-/// ends. Refuses a file that others than its owner may read or write. Thread
-/// safe.
+/// Returns the content of a secret file without leading and trailing white
+/// space. Fails as ReadFile does, when the content is empty, and when users
+/// other than the owner have any permission on the file. Thread safe.
 std::optional<std::string> ReadKeyFile(const std::string& path, Error* error);
 
-/// Returns whether `path` is a readable regular file that only its owner may
-/// read or write. Thread safe.
+/// Returns whether `path` is a readable regular file on which only the owner
+/// has permissions; sets `error` if not. Thread safe.
 bool CheckKeyFile(const std::string& path, Error* error);
 
-/// Returns `path` itself when it is absolute, else below the folder of `file`.
-/// Thread safe.
+/// Returns `path` if it is absolute, else `path` relative to the folder of
+/// `file`. Thread safe.
 std::string ResolvePath(std::string_view file, std::string_view path);
 
 }  // namespace citronlane
--- a/include/citronlane/settings/gateway_settings.h
+++ b/include/citronlane/settings/gateway_settings.h
@@ -12,17 +12,17 @@
 
 namespace citronlane {
 
-/// Everything a gateway process reads from its settings file.
+/// Settings file of a gateway process.
 struct GatewaySettings {
   GatewayOptions gateway_;
   LogOptions log_;
 };
 
-/// Reads and checks settings (JSON with comments). `path` names the file they
-/// come from: relative files in them are below its folder. Returns nothing and
-/// fills `faults` with all faults, in document order, when any is wrong; key
-/// files are read and their permissions checked. `faults` must not be null.
-/// Thread safe.
+/// Parses and validates settings (JSON with comments). `path` is the file that
+/// they come from; relative paths in them are resolved against its folder. Key
+/// files are read and their permissions checked. On failure returns
+/// `std::nullopt` and sets `faults` to all validation errors, in document
+/// order. `faults` must not be null. Thread safe.
 std::optional<GatewaySettings> ParseGatewaySettings(std::string_view text,
                                                     const std::string& path,
                                                     std::vector<Fault>* faults);
--- a/src/json/object_reader.cc
+++ b/src/json/object_reader.cc
@@ -63,7 +63,7 @@
 }
 
 bool ObjectReader::String(std::string_view key, Need need, std::string* out) {
-  const std::string* text = TakeString(key, need);
+  const std::string* text = GetString(key, need);
   if (text == nullptr) {
     return false;
   }
@@ -79,7 +79,7 @@
                           Need need,
                           absl::Span<const std::string_view> allowed,
                           std::string* out) {
-  const std::string* text = TakeString(key, need);
+  const std::string* text = GetString(key, need);
   if (text == nullptr) {
     return false;
   }
@@ -92,7 +92,7 @@
 }
 
 bool ObjectReader::Name(std::string_view key, Need need, std::string* out) {
-  const std::string* text = TakeString(key, need);
+  const std::string* text = GetString(key, need);
   if (text == nullptr) {
     return false;
   }
@@ -107,7 +107,7 @@
 bool ObjectReader::IpAddress(std::string_view key,
                              Need need,
                              std::string* out) {
-  const std::string* text = TakeString(key, need);
+  const std::string* text = GetString(key, need);
   if (text == nullptr) {
     return false;
   }
@@ -120,7 +120,7 @@
 }
 
 bool ObjectReader::Endpoint(std::string_view key, Need need, std::string* out) {
-  const std::string* text = TakeString(key, need);
+  const std::string* text = GetString(key, need);
   if (text == nullptr) {
     return false;
   }
@@ -133,7 +133,7 @@
 }
 
 bool ObjectReader::Bool(std::string_view key, bool* out) {
-  const JsonValue* member = Take(key, Need::kOptional);
+  const JsonValue* member = GetMember(key, Need::kOptional);
   if (member == nullptr) {
     return false;
   }
@@ -150,7 +150,7 @@
                           double low,
                           double high,
                           double* out) {
-  const JsonValue* member = Take(key, need);
+  const JsonValue* member = GetMember(key, need);
   if (member == nullptr) {
     return false;
   }
@@ -219,7 +219,7 @@
     std::string_view rule,
     const std::function<bool(std::string_view)>& is_allowed,
     std::vector<std::string>* out) {
-  const JsonValue* member = Take(key, need);
+  const JsonValue* member = GetMember(key, need);
   if (member == nullptr) {
     return false;
   }
@@ -235,7 +235,7 @@
     if (!item.IsString() || !is_allowed(item.AsString())) {
       faults_->push_back({path, item.line(), "must be " + std::string(rule)});
     } else if (!seen.insert(item.AsString()).second) {
-      faults_->push_back({path, item.line(), "stands twice in this list"});
+      faults_->push_back({path, item.line(), "appears twice in this list"});
     } else {
       texts.push_back(item.AsString());
     }
@@ -247,7 +247,7 @@
 bool ObjectReader::Object(std::string_view key,
                           Need need,
                           const std::function<void(ObjectReader&)>& read) {
-  const JsonValue* member = Take(key, need);
+  const JsonValue* member = GetMember(key, need);
   if (member == nullptr) {
     return false;
   }
@@ -263,7 +263,7 @@
 bool ObjectReader::Entries(std::string_view key,
                            Need need,
                            const EntryHook& read) {
-  const JsonValue* member = Take(key, need);
+  const JsonValue* member = GetMember(key, need);
   if (member == nullptr) {
     return false;
   }
@@ -291,7 +291,7 @@
                          size_t low,
                          size_t high,
                          const ItemHook& read) {
-  const JsonValue* member = Take(key, need);
+  const JsonValue* member = GetMember(key, need);
   if (member == nullptr) {
     return false;
   }
@@ -319,11 +319,12 @@
 
 void ObjectReader::Finish() {
   std::string allowed;
-  for (const std::string& key : known_) {
+  for (const std::string& key : known_keys_) {
     allowed += (allowed.empty() ? "" : ", ") + key;
   }
   for (const auto& [name, member] : value_.members()) {
-    if (std::find(known_.begin(), known_.end(), name) == known_.end()) {
+    if (std::find(known_keys_.begin(), known_keys_.end(), name) ==
+        known_keys_.end()) {
       AddFault(name, "unknown key; allowed are: " + allowed);
     }
   }
@@ -345,8 +346,8 @@
   return member == nullptr ? value_.line() : member->line();
 }
 
-const JsonValue* ObjectReader::Take(std::string_view key, Need need) {
-  known_.emplace_back(key);
+const JsonValue* ObjectReader::GetMember(std::string_view key, Need need) {
+  known_keys_.emplace_back(key);
   const JsonValue* member = value_.Find(key);
   if (member == nullptr && need == Need::kRequired && value_.IsObject()) {
     AddFault(key, "missing; this key is required");
@@ -354,8 +355,8 @@
   return member;
 }
 
-const std::string* ObjectReader::TakeString(std::string_view key, Need need) {
-  const JsonValue* member = Take(key, need);
+const std::string* ObjectReader::GetString(std::string_view key, Need need) {
+  const JsonValue* member = GetMember(key, need);
   if (member == nullptr) {
     return nullptr;
   }
--- a/src/json/parse.cc
+++ b/src/json/parse.cc
@@ -9,10 +9,11 @@
 namespace citronlane {
 namespace {
 
-// Objects up to this size are searched for duplicates one by one.
-constexpr size_t kSmallObject = 16;
+// In objects with fewer members than this, duplicates are found by linear
+// search; larger ones get a hash set of their names.
+constexpr size_t kMaxLinearSearch = 16;
 
-// RapidJSON input stream over a view that counts lines.
+// RapidJSON input stream over a string view that counts lines.
 class LineStream {
  public:
   using Ch = char;
@@ -32,7 +33,7 @@
   int line() const { return line_; }
   bool AtEnd() const { return position_ == text_.size(); }
 
-  // Only for in-place parsing, which is not used.
+  // Required by RapidJSON; called only by in-place parsing, which is not used.
   char* PutBegin() { return nullptr; }
   void Put(char) {}
   void Flush() {}
@@ -105,13 +106,13 @@
   frame.drop_ = IsDuplicate(&frame);
   if (frame.drop_) {
     faults_->push_back({Path(), frame.key_line_,
-                        "duplicate name; a name may stand once in an object"});
+                        "duplicate name; a name may appear once in an object"});
   }
   return true;
 }
 
 bool Builder::IsDuplicate(Frame* frame) const {
-  if (frame->value_.members().size() < kSmallObject) {
+  if (frame->value_.members().size() < kMaxLinearSearch) {
     return frame->value_.Find(frame->key_) != nullptr;
   }
   if (frame->names_.empty()) {
@@ -142,7 +143,7 @@
   JsonValue closed = std::move(frames_.back().value_);
   const int line = closed.line();
   frames_.pop_back();
-  --values_;  // Add counts it again.
+  --values_;  // Open has counted the container already; Add does it again.
   const bool added = Add(std::move(closed));
   if (frames_.empty()) {
     root_.set_line(line);
@@ -197,7 +198,7 @@
   if (!builder.stop_reason().empty()) {
     return builder.stop_reason();
   }
-  return std::string("no valid JSON: ") +
+  return std::string("invalid JSON: ") +
          rapidjson::GetParseError_En(result.Code());
 }
 
@@ -218,7 +219,7 @@
     return std::nullopt;
   }
   if (!stream.AtEnd()) {
-    faults->push_back({"", stream.line(), "no valid JSON: a NUL character"});
+    faults->push_back({"", stream.line(), "invalid JSON: a NUL character"});
     return std::nullopt;
   }
   return builder.TakeRoot();
--- a/src/json/text_range.cc
+++ b/src/json/text_range.cc
@@ -4,14 +4,14 @@
 namespace {
 
 constexpr std::string_view kSpace = " \t\r\n";
-/// Behind a number, a word or a value's closing bracket.
+/// Characters that end a number or a literal.
 constexpr std::string_view kAfterValue = " \t\r\n,]}";
 
 bool IsAt(std::string_view text, size_t place, char expected) {
   return place < text.size() && text[place] == expected;
 }
 
-// Place behind the string whose opening quote is at `begin`.
+// Returns the position after the string whose opening quote is at `begin`.
 std::optional<size_t> EndOfString(std::string_view text, size_t begin) {
   for (size_t i = begin + 1; i < text.size(); ++i) {
     if (text[i] == '\\') {
@@ -23,7 +23,8 @@
   return std::nullopt;
 }
 
-// Place behind the array or object whose opening bracket is at `begin`.
+// Returns the position after the array or object whose opening bracket is at
+// `begin`.
 std::optional<size_t> EndOfBrackets(std::string_view text, size_t begin) {
   size_t depth = 0;
   for (size_t i = begin; i < text.size(); ++i) {
@@ -57,12 +58,12 @@
 
 struct Member {
   std::string_view key_;
-  /// Where its value begins.
-  size_t value_ = 0;
+  /// Position at which the member's value begins.
+  size_t value_begin_ = 0;
 };
 
-// The member whose key is the next thing from `begin` on.
-std::optional<Member> TakeKey(std::string_view text, size_t begin) {
+// Reads the key that is the next token from `begin` on.
+std::optional<Member> ReadKey(std::string_view text, size_t begin) {
   const size_t quote = SkipSpace(text, begin);
   const auto end =
       IsAt(text, quote, '"') ? EndOfString(text, quote) : std::nullopt;
@@ -107,11 +108,11 @@
     return std::nullopt;
   }
   do {
-    const auto member = TakeKey(text, place + 1);
+    const auto member = ReadKey(text, place + 1);
     if (!member || member->key_ == name) {
-      return member ? std::optional(member->value_) : std::nullopt;
+      return member ? std::optional(member->value_begin_) : std::nullopt;
     }
-    const auto value = FindValue(text, member->value_);
+    const auto value = FindValue(text, member->value_begin_);
     if (!value) {
       return std::nullopt;
     }
@@ -128,8 +129,9 @@
   }
   std::optional<TextRange> found;
   do {
-    const auto member = TakeKey(text, place + 1);
-    const auto value = member ? FindValue(text, member->value_) : std::nullopt;
+    const auto member = ReadKey(text, place + 1);
+    const auto value =
+        member ? FindValue(text, member->value_begin_) : std::nullopt;
     if (!value) {
       return std::nullopt;
     }
--- a/src/json/write.cc
+++ b/src/json/write.cc
@@ -10,7 +10,7 @@
 
 using Writer = rapidjson::Writer<rapidjson::StringBuffer>;
 
-// Every whole number up to here has an exact double.
+// Every whole number up to this one is represented exactly by a double.
 constexpr double kLargestExactInteger = 9007199254740992.0;
 
 void WriteNumber(double number, Writer* writer) {
--- a/src/settings/control_settings.cc
+++ b/src/settings/control_settings.cc
@@ -40,7 +40,7 @@
   const auto read_endpoint = [&](std::string_view key, std::string* out) {
     if (reader.Endpoint(key, Need::kRequired, out) &&
         !endpoints->insert(*out).second) {
-      reader.AddFault(key, "stands twice among the peers");
+      reader.AddFault(key, "appears twice among the peers");
     }
   };
   read_endpoint("replication", &peer.replication_);
@@ -103,7 +103,8 @@
   reader.Whole("refusals", Need::kOptional, 1, kMaxCount, &limits->refusals_);
 }
 
-// The lease must end before another VM may be elected.
+// A leader's lease must expire before another VM can be elected, so that there
+// are never two leaders.
 void ReadElection(ObjectReader& reader, RaftOptions* raft) {
   reader.Milliseconds("heartbeat_ms", Need::kOptional, kMinHeartbeatMs,
                       kMaxElectionMs, &raft->heartbeat_interval_);
--- a/src/settings/files.cc
+++ b/src/settings/files.cc
@@ -10,19 +10,19 @@
 namespace citronlane {
 namespace {
 
-constexpr mode_t kOthers = S_IRWXG | S_IRWXO;
+constexpr mode_t kPermissionsOfOthers = S_IRWXG | S_IRWXO;
 
-std::string Reason(const std::string& path, std::string_view what) {
-  return "file " + path + ": " + std::string(what);
+std::string Message(const std::string& path, std::string_view reason) {
+  return "file " + path + ": " + std::string(reason);
 }
 
 bool StatFile(const std::string& path, struct stat* info, Error* error) {
   if (stat(path.c_str(), info) != 0) {
-    error->message_ = Reason(path, std::generic_category().message(errno));
+    error->message_ = Message(path, std::generic_category().message(errno));
     return false;
   }
   if (!S_ISREG(info->st_mode)) {
-    error->message_ = Reason(path, "not a regular file");
+    error->message_ = Message(path, "not a regular file");
     return false;
   }
   return true;
@@ -36,14 +36,14 @@
     return std::nullopt;
   }
   if (static_cast<size_t>(info.st_size) > kMaxFileBytes) {
-    error->message_ =
-        Reason(path, "larger than " + std::to_string(kMaxFileBytes) + " bytes");
+    error->message_ = Message(
+        path, "larger than " + std::to_string(kMaxFileBytes) + " bytes");
     return std::nullopt;
   }
   std::ifstream file(path, std::ios::binary);
   std::string text(static_cast<size_t>(info.st_size), '\0');
   if (!file.read(text.data(), static_cast<std::streamsize>(text.size()))) {
-    error->message_ = Reason(path, "can not be read");
+    error->message_ = Message(path, "can not be read");
     return std::nullopt;
   }
   return text;
@@ -54,13 +54,13 @@
   if (!StatFile(path, &info, error)) {
     return false;
   }
-  if ((info.st_mode & kOthers) != 0) {
-    error->message_ = Reason(
+  if ((info.st_mode & kPermissionsOfOthers) != 0) {
+    error->message_ = Message(
         path, "others than its owner may use it; allowed is mode 0600 or 0400");
     return false;
   }
   if (!std::ifstream(path).is_open()) {
-    error->message_ = Reason(path, "can not be read");
+    error->message_ = Message(path, "can not be read");
     return false;
   }
   return true;
@@ -77,7 +77,7 @@
   constexpr char kWhiteSpace[] = " \t\r\n";
   const size_t begin = text->find_first_not_of(kWhiteSpace);
   if (begin == std::string::npos) {
-    error->message_ = Reason(path, "empty");
+    error->message_ = Message(path, "empty");
     return std::nullopt;
   }
   return text->substr(begin, text->find_last_not_of(kWhiteSpace) - begin + 1);
--- a/src/settings/gateway_settings.cc
+++ b/src/settings/gateway_settings.cc
@@ -56,8 +56,8 @@
                       &limits->idle_timeout_);
 }
 
-// Exactly one of "control" and "bootstrap_config" says where the configuration
-// comes from.
+// Reads the source of the configuration: exactly one of "control" and
+// "bootstrap_config" must be set.
 void ReadControl(const std::string& path,
                  ObjectReader& reader,
                  GatewayOptions* options) {
--- a/src/settings/shared_settings.cc
+++ b/src/settings/shared_settings.cc
@@ -12,7 +12,7 @@
 
 using Need = ObjectReader::Need;
 
-// In the order of LogLevel.
+// Must have the order of LogLevel.
 constexpr std::array<std::string_view, 4> kLevels = {"debug", "info", "warn",
                                                      "error"};
 constexpr std::array<std::string_view, 2> kLayouts = {"text", "json"};
--- a/tests/unit-fuzz.cc
+++ b/tests/unit-fuzz.cc
@@ -17,8 +17,8 @@
 constexpr int kRounds = 3000;
 constexpr int kMaxEdits = 8;
 constexpr unsigned kSeed = 20261202;
-// Pieces that make other branches of the parsers likely.
-constexpr const char* kPieces[] = {"{",        "}",
+// Tokens whose insertion reaches other branches of the parsers.
+constexpr const char* kTokens[] = {"{",        "}",
                                    "[",        "]",
                                    ":",        ",",
                                    "\"",       "//",
@@ -47,7 +47,7 @@
         text.erase(position, 1 + below(20));
         break;
       case 2:
-        text.insert(position, kPieces[below(std::size(kPieces))]);
+        text.insert(position, kTokens[below(std::size(kTokens))]);
         break;
       default:
         text.insert(position, text.substr(below(text.size()), below(60)));
@@ -65,8 +65,8 @@
   return *text;
 }
 
-// Mutates the text again and again; `accept` returns whether it was accepted
-// and how many faults there were: exactly one of both must hold.
+// Calls `accept` with mutations of the text. It must either return true, or
+// return false and add faults with line and message.
 void Fuzz(const std::string& text,
           const std::function<bool(const std::string&, std::vector<Fault>*)>&
               accept) {
@@ -94,7 +94,7 @@
 }  // namespace
 
 TEST_CASE("mutated input") {
-  SECTION("of JSON is refused with a line, or written back the same") {
+  SECTION("of JSON is refused with a line, or keeps its value when written") {
     Fuzz(Example("configuration.json"),
          [](const std::string& text, std::vector<Fault>* faults) {
            Fault fault;
--- a/tests/unit-json.cc
+++ b/tests/unit-json.cc
@@ -9,7 +9,7 @@
 namespace citronlane {
 namespace {
 
-// A random value; depth bounds the nesting.
+// Returns a random value with at most `depth` levels of nesting.
 rc::Gen<JsonValue> AnyValue(int depth) {
   auto leaf = rc::gen::oneOf(
       rc::gen::construct<JsonValue>(),
@@ -74,7 +74,7 @@
     CHECK(value.Find("b")->items()[2].line() == 3);
     CHECK(value.Find("a")->line() == 4);
   }
-  SECTION("refuses what is no JSON, with the line and the path") {
+  SECTION("refuses invalid JSON with the line and the path") {
     struct Row {
       std::string text_;
       int line_;
@@ -129,13 +129,13 @@
 }
 
 TEST_CASE("json write") {
-  SECTION("parse gives back what was written") {
+  SECTION("parsing the written text returns the same value") {
     CHECK(rc::check([] {
       const std::string text = WriteJson(*AnyValue(1));
       RC_ASSERT(WriteJson(Parsed(text)) == text);
     }));
   }
-  SECTION("numbers survive exactly") {
+  SECTION("numbers are kept exactly") {
     CHECK(rc::check([](double number) {
       const std::string text = WriteJson(JsonValue::Number(number));
       RC_ASSERT(Parsed(text).AsNumber() == number);
@@ -157,7 +157,7 @@
     CHECK(Patched("{}", R"({"a":{"bb":{"ccc":null}}})") ==
           R"({"a":{"bb":{}}})");
   }
-  SECTION("applied twice is applied once") {
+  SECTION("is idempotent") {
     CHECK(rc::check([] {
       JsonValue once = *AnyValue(2);
       const JsonValue patch = *AnyValue(2);
@@ -179,7 +179,7 @@
 }
 
 TEST_CASE("json addresses") {
-  SECTION("are IP numbers only") {
+  SECTION("are numeric IP addresses only") {
     for (const char* good : {"127.0.0.1", "::1", "10.20.30.40"}) {
       CHECK(IsIpAddress(good));
     }
--- a/tests/unit-settings.cc
+++ b/tests/unit-settings.cc
@@ -15,7 +15,7 @@
 namespace citronlane {
 namespace {
 
-// A folder that is removed at the end.
+// A folder that is removed at destruction.
 class TemporaryFolder {
  public:
   TemporaryFolder()
@@ -41,6 +41,7 @@
   const std::filesystem::path path_;
 };
 
+// A change to valid settings, and the start of the error that it must cause.
 struct Break {
   std::string find_;
   std::string replace_;
@@ -123,7 +124,7 @@
     CHECK(settings->log_.layout_ == LogOptions::Layout::kJson);
     CHECK(settings->log_.file_ == ResolvePath(folder.file(), "gw.log"));
   }
-  SECTION("report all faults at once") {
+  SECTION("report all validation errors at once") {
     CHECK_FALSE(parse(R"({
   "gateway": {"name": "a b", "threads": 0, "colour": 1,
     "listen": {"address": "localhost"},
@@ -175,7 +176,7 @@
           "gateway.config_lease_ms: line 10: must be a number from 500 to "
           "4000, is 5000"}});
   }
-  SECTION("may name a file in place of control") {
+  SECTION("may name a configuration file instead of control VMs") {
     folder.Write("config.json", "{}", 0644);
     const auto settings = parse(
         Replaced(kGateway, {"\"control\": [\"10.0.0.1:7000\", \"[::1]:7000\"]",
@@ -222,7 +223,7 @@
          {"{\"id\": 1", "{\"id\": 2",
           "control.peers[1].id: line 6: another peer has this id"},
          {"10.0.0.2:3", "10.0.0.1:3",
-          "control.peers[1].admin: line 6: stands twice"},
+          "control.peers[1].admin: line 6: appears twice"},
          {"\"change\"", "\"root\"", "control.operators[0].role: line 8: must"},
          {"0123456789abcdef", "0123456789ABCDEF",
           "control.operators[0].key_digest: line 8: must be a SHA-256"},
