--- a/include/citronlane/base/error.h
+++ b/include/citronlane/base/error.h
@@ -5,9 +5,10 @@
 
 namespace citronlane {
 
-/// Last reason for a missing std::optional result. Functions that can fail
-/// return std::optional and take `Error* error` as their last parameter; they
-/// set it only when they return std::nullopt. The pointer must not be null.
+/// Reason for the failure of a function. Functions that can fail return
+/// `std::optional` or `bool` and take `Error* error` as their last parameter,
+/// which must not be null and is set only when they return `std::nullopt` or
+/// false.
 struct Error {
   /// One short line in plain English, without a trailing newline.
   std::string message_;
--- a/include/citronlane/base/hex.h
+++ b/include/citronlane/base/hex.h
@@ -6,7 +6,7 @@
 
 namespace citronlane {
 
-/// Returns two lower-case hexadecimal digits a byte. Thread safe.
+/// Returns two lower-case hexadecimal digits per byte. Thread safe.
 std::string ToHex(std::string_view bytes);
 
 }  // namespace citronlane
--- a/include/citronlane/base/refusal_reason.h
+++ b/include/citronlane/base/refusal_reason.h
@@ -5,8 +5,8 @@
 
 namespace citronlane {
 
-/// Stable numbered reasons for refusing or failing a request. A number is
-/// never reused. docs/REFUSALS.md lists each with its figures.
+/// Reasons for refusing or failing a request. The numbers are part of the API
+/// and never reused. docs/REFUSALS.md lists each with its figures.
 enum class RefusalReason {
   // 1xx: the request itself.
   kMalformedRequest = 101,
@@ -53,10 +53,10 @@
 /// safe.
 std::string_view ToString(RefusalReason reason);
 
-/// Returns one short sentence for the caller. Thread safe.
+/// Returns a sentence that explains the reason to the caller. Thread safe.
 std::string_view Describe(RefusalReason reason);
 
-/// Returns the HTTP status that carries the reason. Thread safe.
+/// Returns the HTTP status of a response with that reason. Thread safe.
 int HttpStatus(RefusalReason reason);
 
 }  // namespace citronlane
--- a/include/citronlane/base/steady_now.h
+++ b/include/citronlane/base/steady_now.h
@@ -5,7 +5,8 @@
 
 namespace citronlane {
 
-/// Reads the monotonic clock; not for decision code. Thread safe.
+/// Reads the monotonic clock. Not for decision code, which gets the time as an
+/// argument so that tests can control it. Thread safe.
 inline TimePoint SteadyNow() {
   return std::chrono::time_point_cast<Duration>(
       std::chrono::steady_clock::now());
--- a/include/citronlane/base/text.h
+++ b/include/citronlane/base/text.h
@@ -6,13 +6,16 @@
 
 namespace citronlane {
 
-/// Text without spaces and tabs at its ends. Thread safe, as are the others.
+/// Returns the text without leading and trailing spaces and tabs. All functions
+/// of this header are thread safe; the results point into `text`.
 std::string_view Stripped(std::string_view text);
 
-/// Whether two ASCII texts are alike but for case, as header names are.
+/// Compares two texts without regard to the case of ASCII letters, as names of
+/// HTTP headers are compared.
 bool EqualsIgnoringCase(std::string_view a, std::string_view b);
 
-/// Parts between separators, stripped; one empty part for an empty text.
+/// Returns the fields between separators, each stripped; one empty field for an
+/// empty text.
 std::vector<std::string_view> Split(std::string_view text, char separator);
 
 }  // namespace citronlane
--- a/include/citronlane/base/time.h
+++ b/include/citronlane/base/time.h
@@ -5,7 +5,7 @@
 
 namespace citronlane {
 
-/// Length of time in microseconds, the resolution of every decision.
+/// Length of time in microseconds, the resolution of all decision code.
 using Duration = std::chrono::microseconds;
 
 /// Point on the process's monotonic clock. Decision code receives it as an
--- a/include/citronlane/base/verdict.h
+++ b/include/citronlane/base/verdict.h
@@ -5,21 +5,20 @@
 
 namespace citronlane {
 
-/// Says whether any stage of a request may have run. The order is meaningful:
-/// a request's verdict only ever rises.
+/// Whether any stage of a request has run. Values are ordered: the verdict of a
+/// request never decreases.
 enum class Verdict {
   kNotRun = 0,
   kMayHaveRun = 1,
   kRan = 2,
 };
 
-/// Returns the later of the two verdicts, so that a verdict never falls back.
-/// Thread safe.
+/// Returns the higher of the two verdicts. Thread safe.
 constexpr Verdict RaiseVerdict(Verdict current, Verdict next) {
   return next > current ? next : current;
 }
 
-/// Returns the stable text used in answers, logs and the refusal journal:
+/// Returns the stable name used in responses, logs and the refusal journal:
 /// "not_run", "may_have_run" or "ran". Thread safe.
 std::string_view ToString(Verdict verdict);
 
--- a/include/citronlane/citronlane.h
+++ b/include/citronlane/citronlane.h
@@ -1,8 +1,9 @@
 #ifndef CITRONLANE_CITRONLANE_H_
 #define CITRONLANE_CITRONLANE_H_
 
-/// Everything that a program needs to embed the system: the two processes with
-/// their settings, the configuration, and the decisions behind them.
+/// Includes the public API for programs that embed the system: the gateway and
+/// control processes with their settings, the configuration, and the decision
+/// code. Not needed to run the `citronlane` program.
 
 #include "citronlane/admission/admission_controller.h"
 #include "citronlane/base/error.h"
--- a/include/citronlane/observe/event_log.h
+++ b/include/citronlane/observe/event_log.h
@@ -12,28 +12,34 @@
 
 namespace citronlane {
 
-/// Structured log of one process: one JSON object a line, for each decision
-/// that touches a request or changes what the process believes. Bounded: under
-/// a flood the lines beyond a rate are counted instead of written, and the next
-/// line says how many. Not thread safe.
+/// Structured log of one process, with a JSON object per line for each decision
+/// that affects a request or the state of the process. It is not for debug
+/// messages; see Logger. Lines beyond a rate are dropped and counted; the next
+/// line written has their number as "lines_dropped". Not thread safe.
 class EventLog {
  public:
   struct Hooks {
-    /// Writes one line with its end; false when it could not without waiting.
+    /// Writes one line, which ends with a newline, or returns false when that
+    /// would block.
     std::function<bool(std::string_view line)> write_;
+    /// Monotonic clock, for the rate.
     std::function<TimePoint()> now_;
-    /// Milliseconds since 1970, for the reader; decides nothing.
+    /// Unix time in milliseconds, for the timestamp of a line.
     std::function<int64_t()> wall_ms_;
   };
 
-  /// `node` names the process in every line.
+  /// `node` names the process in every line. All hooks must be set.
   EventLog(std::string node, Hooks hooks);
 
-  /// `part` is the fixed prefix of a part of the process, e.g. "relay".
-  void Write(std::string_view part,
+  /// Writes a line, or drops and counts it when it is beyond the rate, longer
+  /// than 4096 bytes, or can't be written without blocking. `component` is the
+  /// fixed name of a component, e.g. "relay". Control characters in values are
+  /// replaced by spaces.
+  void Write(std::string_view component,
              std::string_view event,
              std::initializer_list<LogField> fields);
 
+  /// Number of lines dropped so far.
   uint64_t dropped() const { return dropped_; }
 
  private:
@@ -44,10 +50,11 @@
   double tokens_;
   TimePoint refilled_;
   uint64_t dropped_ = 0;
+  /// Dropped lines that no written line has reported yet.
   uint64_t unreported_ = 0;
 };
 
-/// Hooks that write to standard output and read the machine's clocks.
+/// Returns hooks that write to standard output and read the system's clocks.
 EventLog::Hooks StandardOutputLog();
 
 }  // namespace citronlane
--- a/include/citronlane/observe/log_field.h
+++ b/include/citronlane/observe/log_field.h
@@ -9,8 +9,8 @@
 
 namespace citronlane {
 
-/// One name and value of a structured log line. Short-lived: holds a view of
-/// its name.
+/// One name and value of a structured log line. Refers to the name, which must
+/// outlive it, and copies the value.
 class LogField {
  public:
   LogField(std::string_view name, std::string_view value)
@@ -27,7 +27,7 @@
       : LogField(name, static_cast<int64_t>(value)) {}
   LogField(std::string_view name, uint32_t value)
       : LogField(name, static_cast<uint64_t>(value)) {}
-  /// In whole milliseconds.
+  /// Written in milliseconds, rounded towards zero.
   LogField(std::string_view name, Duration value)
       : LogField(
             name,
--- a/include/citronlane/observe/log_level.h
+++ b/include/citronlane/observe/log_level.h
@@ -3,7 +3,7 @@
 
 namespace citronlane {
 
-/// How much a log line matters.
+/// Severity of a log line, in ascending order.
 enum class LogLevel { kDebug, kInfo, kWarn, kError };
 
 }  // namespace citronlane
--- a/include/citronlane/observe/log_options.h
+++ b/include/citronlane/observe/log_options.h
@@ -7,7 +7,7 @@
 
 namespace citronlane {
 
-/// Where log lines go and how they look.
+/// Level, format and destination of log lines.
 struct LogOptions {
   enum class Layout { kText, kJson };
 
--- a/include/citronlane/observe/logger.h
+++ b/include/citronlane/observe/logger.h
@@ -12,13 +12,13 @@
 
 struct LogOptions;
 
-/// Writes the log lines of one part of the process. The part's name is the
-/// fixed prefix of each line. Messages are short sentences; they never hold a
-/// caller's text or key. Copies write to the same place. Thread safe.
+/// Writes the log lines of one component, whose name is the prefix of each
+/// line. Messages are short sentences and must never contain a caller's text or
+/// key. Copies write to the same destination. Thread safe.
 class Logger {
  public:
-  /// `part` is one lower-case word, e.g. "gateway".
-  explicit Logger(std::string_view part);
+  /// `component` is one lower-case word, e.g. "gateway".
+  explicit Logger(std::string_view component);
 
   void Debug(std::string_view message) const;
   void Info(std::string_view message) const;
@@ -37,9 +37,10 @@
   std::shared_ptr<const Impl> impl_;
 };
 
-/// Sets up logging for the process; until then nothing below kWarn is written,
-/// and that to stderr. May be called again. Returns false and the reason when
-/// the file can't be written. Not thread safe; call from the main thread.
+/// Configures logging for the process. Until then, lines of kWarn and above are
+/// written to stderr. May be called again. Returns false and sets `error` when
+/// the file can't be opened. Not thread safe; to be called from the main
+/// thread.
 bool ConfigureLogging(const LogOptions& options, Error* error);
 
 }  // namespace citronlane
--- a/include/citronlane/observe/metric.h
+++ b/include/citronlane/observe/metric.h
@@ -7,8 +7,7 @@
 
 namespace citronlane {
 
-/// What a metric is called, counts, and is labelled with. All of them are
-/// constants in metric_names.h.
+/// Definition of a metric. All metrics are constants in metric_names.h.
 struct Metric {
   enum class Kind { kCounter, kGauge, kHistogram };
 
--- a/include/citronlane/observe/metric_names.h
+++ b/include/citronlane/observe/metric_names.h
@@ -25,8 +25,8 @@
 
 }  // namespace metric_labels
 
-/// Names are stable: a metric may be added, none is renamed.
-/// docs/reference/METRICS.md lists each.
+/// Metrics may be added but never renamed, since dashboards and alerts use
+/// their names. docs/reference/METRICS.md lists them.
 inline constexpr Metric kRequestsTotal{
     "citronlane_requests_total", Metric::Kind::kCounter,
     "Requests by how they ended: answered, refused or failed.",
@@ -129,7 +129,7 @@
     "by reason: other_id, no_id or ambiguous.",
     metric_labels::kReasonPool};
 
-/// Every metric of the registry, in the order of the text.
+/// All metrics, in the order in which Metrics::Text() writes them.
 inline constexpr const Metric* kAllMetrics[] = {
     &kRequestsTotal,
     &kRefusalsTotal,
--- a/include/citronlane/process/detail/json_figures.h
+++ b/include/citronlane/process/detail/json_figures.h
@@ -8,7 +8,8 @@
 
 namespace citronlane::detail {
 
-/// Returns the figures of a refusal as an object, in the order of their names.
+/// Returns the figures of a refusal as a JSON object, sorted by name. Thread
+/// safe.
 inline JsonValue FiguresToJson(const std::map<std::string, double>& figures) {
   JsonValue object = JsonValue::Object();
   for (const auto& [name, figure] : figures) {
--- a/include/citronlane/process/detail/unix_time.h
+++ b/include/citronlane/process/detail/unix_time.h
@@ -6,7 +6,7 @@
 
 namespace citronlane::detail {
 
-/// Returns the time of the wall clock in Unix milliseconds. Thread safe.
+/// Returns the Unix time in milliseconds. Thread safe.
 inline uint64_t UnixMilliseconds() {
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   return static_cast<uint64_t>(
--- a/include/citronlane/process/stop_signals.h
+++ b/include/citronlane/process/stop_signals.h
@@ -7,17 +7,20 @@
 
 namespace citronlane {
 
-/// SIGTERM and SIGINT, taken by waiting and not by handlers. Threads inherit
-/// the block, so the first one is made before any thread starts.
+/// Receives SIGTERM and SIGINT by waiting for them instead of by signal
+/// handlers. That requires the signals to be blocked in all threads. Threads
+/// inherit the signal mask, so the first object must be constructed before any
+/// thread is started.
 class StopSignals {
  public:
-  /// Blocks both signals in this thread; ignores SIGPIPE in the process.
+  /// Blocks both signals in this thread and ignores SIGPIPE in the process.
   StopSignals();
 
-  /// Returns once one of them came. Thread safe.
+  /// Returns once one of the signals was received. Thread safe.
   void Wait() const;
 
-  /// Returns whether one of them came within `timeout`. Thread safe.
+  /// Waits at most `timeout`; returns whether one of the signals was received.
+  /// Thread safe.
   bool WaitFor(std::chrono::nanoseconds timeout) const;
 
  private:
--- a/include/citronlane/process/worker_thread.h
+++ b/include/citronlane/process/worker_thread.h
@@ -8,25 +8,26 @@
 
 namespace citronlane {
 
-/// A thread that works until it is told to stop. Its owner's mutex also guards
-/// the wish to stop, so that one wait serves that and the owner's own state.
-/// Start and Stop are called by one thread.
+/// A thread with a stop flag. The flag is guarded by the owner's mutex, so that
+/// the thread can wait on one condition variable for a stop and for changes of
+/// the owner's state. Start and Stop must be called by the same thread.
 class WorkerThread {
  public:
-  /// Both outlive the object; the thread waits on `wake` for what it does next.
+  /// Both must outlive the object. `wake` is the condition variable on which
+  /// the thread, and no other one, waits; Stop notifies it once.
   WorkerThread(std::mutex* mutex, std::condition_variable* wake);
   /// Precondition: stopped, or never started.
   ~WorkerThread() = default;
   WorkerThread(const WorkerThread&) = delete;
   WorkerThread& operator=(const WorkerThread&) = delete;
 
-  /// Runs `run`, which returns soon after is_stopping() has become true. Call
-  /// once at most.
+  /// Starts a thread that calls `run`, which must return soon after
+  /// is_stopping() has become true. To be called at most once.
   void Start(std::function<void()> run);
-  /// Wakes the thread and waits for its end, if it was started. May be called
-  /// twice. Precondition: the mutex is not held.
+  /// Sets the stop flag, wakes the thread and joins it if it was started. May
+  /// be called again. Precondition: the caller does not hold the mutex.
   void Stop();
-  /// Precondition: the mutex is held, by any thread.
+  /// Precondition: the caller holds the mutex.
   bool is_stopping() const { return is_stopping_; }
 
  private:
--- a/src/base/text.cc
+++ b/src/base/text.cc
@@ -27,12 +27,12 @@
 }
 
 std::vector<std::string_view> Split(std::string_view text, char separator) {
-  std::vector<std::string_view> parts;
+  std::vector<std::string_view> fields;
   while (true) {
     const size_t end = text.find(separator);
-    parts.push_back(Stripped(text.substr(0, end)));
+    fields.push_back(Stripped(text.substr(0, end)));
     if (end == std::string_view::npos) {
-      return parts;
+      return fields;
     }
     text.remove_prefix(end + 1);
   }
--- a/src/observe/event_log.cc
+++ b/src/observe/event_log.cc
@@ -12,12 +12,12 @@
 namespace citronlane {
 namespace {
 
-/// Lines a second that are kept, and lines of a burst beyond that: several
-/// times what a busy gateway writes, and little for whoever reads them.
+/// Token bucket of the lines: several times what a busy gateway writes, and
+/// little load for the reader of the log.
 constexpr double kLinesPerSecond = 160;
 constexpr double kBurstLines = 640;
-/// Up to this many bytes a pipe takes whole or not at all.
-constexpr size_t kAtomicBytes = 4096;
+/// Writes to a pipe are atomic up to this size (PIPE_BUF).
+constexpr size_t kMaxAtomicWriteBytes = 4096;
 constexpr unsigned char kFirstPrintable = 0x20;
 
 void AppendText(std::string_view text, std::string* line) {
@@ -76,7 +76,7 @@
   return true;
 }
 
-void EventLog::Write(std::string_view part,
+void EventLog::Write(std::string_view component,
                      std::string_view event,
                      std::initializer_list<LogField> fields) {
   if (!TakeToken()) {
@@ -86,7 +86,7 @@
   }
   std::string line = "{\"time_ms\":" + std::to_string(hooks_.wall_ms_());
   AppendField("node", node_, false, &line);
-  AppendField("part", part, false, &line);
+  AppendField("part", component, false, &line);
   AppendField("event", event, false, &line);
   for (const LogField& field : fields) {
     AppendField(field.name(), field.value(), field.is_number(), &line);
@@ -95,7 +95,7 @@
     AppendField("lines_dropped", std::to_string(unreported_), true, &line);
   }
   line += "}\n";
-  if (line.size() <= kAtomicBytes && hooks_.write_(line)) {
+  if (line.size() <= kMaxAtomicWriteBytes && hooks_.write_(line)) {
     unreported_ = 0;
   } else {
     ++dropped_;
--- a/src/observe/logger.cc
+++ b/src/observe/logger.cc
@@ -37,7 +37,7 @@
   return log4cplus::INFO_LOG_LEVEL;
 }
 
-// One JSON object a line.
+// Writes one JSON object per line.
 class JsonLayout : public log4cplus::Layout {
  public:
   void formatAndAppend(
@@ -83,17 +83,17 @@
 
 class Logger::Impl {
  public:
-  explicit Impl(std::string_view part)
+  explicit Impl(std::string_view component)
       : logger_(Root().getInstance(std::string(kRootName) + "." +
-                                   std::string(part))) {}
+                                   std::string(component))) {}
   const log4cplus::Logger& logger() const { return logger_; }
 
  private:
   const log4cplus::Logger logger_;
 };
 
-Logger::Logger(std::string_view part)
-    : impl_(std::make_shared<const Impl>(part)) {}
+Logger::Logger(std::string_view component)
+    : impl_(std::make_shared<const Impl>(component)) {}
 
 void Logger::Debug(std::string_view message) const {
   Write(LogLevel::kDebug, message);
--- a/src/observe/metrics.cc
+++ b/src/observe/metrics.cc
@@ -19,12 +19,12 @@
 namespace bh = boost::histogram;
 
 constexpr double kMicrosecondsPerSecond = 1e6;
-// Ends each label value in a key.
+// Follows each label value in the key of a series.
 constexpr char kSeparator = '\x1f';
 constexpr std::string_view kOther = "other";
 
-// Upper bounds of the buckets in seconds. A time equal to a bound counts in
-// the next bucket, as Boost.Histogram's intervals are half open.
+// Upper bounds of the histogram buckets in seconds. A time equal to a bound
+// counts in the next bucket, since Boost.Histogram's intervals are half open.
 constexpr std::array<double, 18> kBounds = {
     0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
     0.5,    0.8,   1.2,    2,     4,    8,     15,   30,  60};
@@ -38,14 +38,15 @@
                                  bh::axis::variable<>(kBounds));
 }
 
-// One combination of label values.
+// Value of a metric for one combination of label values.
 struct Series {
-  // Counter or gauge; sum of the times of a histogram, in seconds.
+  // Value of a counter or gauge; for a histogram the sum of its observations in
+  // seconds.
   double value_ = 0;
   std::optional<Histogram> histogram_;
 };
 
-// Keyed by the label values, joined.
+// Keyed by the result of JoinLabels.
 using SeriesMap = std::map<std::string, Series, std::less<>>;
 
 struct Shard {
@@ -71,8 +72,8 @@
   return key;
 }
 
-// Constants in a header may have an address per file: the table's is the one
-// that counts.
+// Returns the entry of kAllMetrics. A constant that is defined in a header may
+// have another address in each source file, so `&metric` is no usable key.
 const Metric* Canonical(const Metric& metric) {
   for (const Metric* known : kAllMetrics) {
     if (known->name_ == metric.name_) {
@@ -82,7 +83,7 @@
   return nullptr;
 }
 
-// Number of the calling thread, in the order in which threads first count.
+// Returns the number of the calling thread, in the order of first calls.
 size_t ThreadNumber() {
   static std::atomic<size_t> next{0};
   thread_local const size_t own = next++;
@@ -147,7 +148,7 @@
   const std::string prefix = labels.empty() ? labels : labels + ",";
   uint64_t cumulative = 0;
   for (size_t i = 0; i < kBounds.size(); ++i) {
-    // Cell -1 holds what lies below the first bound.
+    // Index -1 is the underflow bucket, with the times below the first bound.
     cumulative += series.histogram_->at(static_cast<int>(i) - 1);
     text << metric.name_ << "_bucket{" << prefix << "le=\""
          << NumberText(kBounds[i]) << "\"} " << cumulative << '\n';
@@ -176,15 +177,15 @@
   }
 }
 
-void AddSeries(const Series& part, Series* sum) {
-  sum->value_ += part.value_;
-  if (!part.histogram_) {
+void AddSeries(const Series& series, Series* sum) {
+  sum->value_ += series.value_;
+  if (!series.histogram_) {
     return;
   }
   if (sum->histogram_) {
-    *sum->histogram_ += *part.histogram_;
+    *sum->histogram_ += *series.histogram_;
   } else {
-    sum->histogram_ = part.histogram_;
+    sum->histogram_ = series.histogram_;
   }
 }
 
@@ -197,7 +198,7 @@
 
   size_t OwnShard() const { return ThreadNumber() % shards_.size(); }
 
-  // Calls `update` on the series, under its shard's lock.
+  // Calls `update` on the series under its shard's lock.
   template <typename Update>
   void Change(const Metric& metric,
               Labels labels,
@@ -226,7 +227,8 @@
   update(FindOrAdd(*known, JoinLabels(labels), &shard));
 }
 
-// The bound holds for each shard, so that no lock covers them all.
+// The maximum applies to each shard by itself, so that no lock has to cover all
+// shards.
 Series* Metrics::Impl::FindOrAdd(const Metric& metric,
                                  std::string key,
                                  Shard* shard) const {
@@ -277,7 +279,8 @@
   });
 }
 
-// A gauge lives in the first shard only: the last writer wins.
+// Gauges are stored in the first shard only: the last write wins, whatever
+// thread made it.
 void Metrics::Set(const Metric& metric, Labels labels, double value) {
   impl_->Change(metric, labels, 0,
                 [value](Series* series) { series->value_ = value; });
--- a/tests/unit-event-log.cc
+++ b/tests/unit-event-log.cc
@@ -12,7 +12,7 @@
 
 using std::chrono::seconds;
 
-/// A log into memory under a hand-driven clock.
+/// Keeps log lines in memory; tests set the clock.
 struct Memory {
   EventLog::Hooks Hooks() {
     EventLog::Hooks hooks;
@@ -59,7 +59,7 @@
     CHECK(line->Find("version")->AsNumber() == 7);
   }
 
-  SECTION("a flood is bounded, and what was left out is told") {
+  SECTION("a flood is bounded, and the number of dropped lines is reported") {
     constexpr int kFlood = 100000;
     for (int i = 0; i < kFlood; ++i) {
       log.Write("relay", "refused", {{"request", "r"}});
@@ -86,7 +86,7 @@
     CHECK(memory.lines_.size() < 2300);
   }
 
-  SECTION("an output that takes nothing drops lines and blocks nobody") {
+  SECTION("lines are dropped when the output would block") {
     memory.takes_lines_ = false;
     log.Write("relay", "one", {});
     log.Write("relay", "two", {});
--- a/tests/unit-observe.cc
+++ b/tests/unit-observe.cc
@@ -102,7 +102,7 @@
   options.file_ = path.string();
   Error error;
 
-  SECTION("text lines have the part's prefix and obey the level") {
+  SECTION("text lines have the component's prefix and obey the level") {
     REQUIRE(ConfigureLogging(options, &error));
     const Logger logger("gateway");
     logger.Debug("Too small.");
--- a/tests/unit-verdict.cc
+++ b/tests/unit-verdict.cc
@@ -6,7 +6,7 @@
 namespace citronlane {
 
 TEST_CASE("verdict") {
-  SECTION("never falls back") {
+  SECTION("never decreases") {
     CHECK(RaiseVerdict(Verdict::kRan, Verdict::kNotRun) == Verdict::kRan);
     CHECK(RaiseVerdict(Verdict::kMayHaveRun, Verdict::kNotRun) ==
           Verdict::kMayHaveRun);
