--- a/include/citronlane/cli/admin_client.h
+++ b/include/citronlane/cli/admin_client.h
@@ -11,17 +11,20 @@
 
 namespace citronlane {
 
-/// Calls the administration API: tries each control VM in turn, follows the
-/// pointer to the leader, waits while there is none, until the timeout. Every
-/// call may be sent more than once, so changes carry a change id. Not thread
-/// safe.
+/// Client of the administration API. Tries the control VMs in turn, follows
+/// redirects to the leader, and repeats this until the timeout while no VM can
+/// serve the call. A call may be sent several times, so the body of a change
+/// must have an id by which the server recognizes repetitions. Not thread safe.
 class AdminClient {
  public:
   explicit AdminClient(AdminOptions options);
 
-  /// Returns the first answer that is neither 503 nor a pointer, or nothing
-  /// and the last reason. Precondition: `path` starts with '/'.
+  /// Returns the first response whose status is neither 503 nor 307. Returns
+  /// `std::nullopt` and sets `error` to the last failure when there is none
+  /// before the timeout, or when the key file can't be read. Precondition:
+  /// `path` starts with '/'.
   std::optional<AdminReply> Get(const std::string& path, Error* error);
+  /// As Get, with a JSON body.
   std::optional<AdminReply> Post(const std::string& path,
                                  const JsonValue& body,
                                  Error* error);
@@ -40,7 +43,7 @@
 
   const AdminOptions options_;
   std::string key_;
-  /// Answered last; tried first.
+  /// Address whose try succeeded last, which is tried first.
   std::string preferred_;
 };
 
--- a/include/citronlane/cli/admin_options.h
+++ b/include/citronlane/cli/admin_options.h
@@ -7,15 +7,16 @@
 
 namespace citronlane {
 
-/// How the command line reaches the administration API.
+/// Options of the client of the administration API.
 struct AdminOptions {
-  /// "IP:port" of control VMs, tried in turn.
+  /// "IP:port" of the control VMs, in the order in which they are tried.
   std::vector<std::string> addresses_;
-  /// File with the operator's key; empty sends none.
+  /// File with the operator's key; without one, calls are sent without a key.
   std::string key_file_;
-  /// Uses TLS when set: the file with the certificates that sign the servers'.
+  /// File with the certificates of the authorities that sign those of the
+  /// control VMs; empty for plain HTTP.
   std::string ca_file_;
-  /// For one call with all its tries.
+  /// Time for one call with all its tries.
   std::chrono::milliseconds timeout_{10'000};
 };
 
--- a/include/citronlane/cli/admin_reply.h
+++ b/include/citronlane/cli/admin_reply.h
@@ -7,11 +7,11 @@
 
 namespace citronlane {
 
-/// What the administration API answered.
+/// Response of the administration API.
 struct AdminReply {
   int status_ = 0;
   std::string text_;
-  /// The text as JSON; null when it is none.
+  /// The parsed text; null when it is not JSON.
   JsonValue body_;
 };
 
--- a/include/citronlane/cli/detail/command_context.h
+++ b/include/citronlane/cli/detail/command_context.h
@@ -16,13 +16,14 @@
 
 namespace citronlane::detail {
 
-/// What all commands share. The streams must outlive it.
+/// Options, output streams and exit code that all commands share. The streams
+/// must outlive it.
 struct CommandContext {
   CommandContext(std::ostream& out, std::ostream& err) : out_(out), err_(err) {}
 
   std::ostream& out_;
   std::ostream& err_;
-  /// Print JSON in place of text.
+  /// Whether to print JSON instead of text.
   bool json_ = false;
   AdminOptions admin_;
   /// Set by the command that ran.
@@ -30,25 +31,26 @@
 
   /// Prints "error: <message>" and sets the exit code.
   void Fail(ExitCode code, std::string_view message);
-  /// Prints a value: compact JSON, or indented "name: value" lines.
+  /// Prints a value as compact JSON or as indented "name: value" lines.
   void Print(const JsonValue& value);
-  /// Prints a reply's body; a status of 400 and more is a failure.
+  /// Prints the body of a response. For a status of 400 or more, prints an
+  /// error and sets the exit code to kFailure.
   void PrintReply(const AdminReply& reply);
 };
 
-/// Returns a random id, so that a change may be sent again under it.
+/// Returns a random id by which the server recognizes a repeated change.
 std::string NewChangeId();
-/// Prints what the administration API answers to a GET.
+/// Sends a GET to the administration API and prints the response.
 void RunGet(const std::string& path, CommandContext* context);
-/// Accepts "IP:port".
+/// Returns a validator of options that accepts "IP:port".
 CLI::Validator EndpointValidator();
 /// Adds --json.
 void AddJsonOption(CLI::App* command, CommandContext* context);
 /// Adds --admin, --key-file, --ca-file, --timeout and --json.
 void AddAdminOptions(CLI::App* command, CommandContext* context);
 
-/// Each adds its commands to `app`; their callbacks use `context`, which must
-/// outlive the parse.
+/// Each of these adds commands to `app`. Their callbacks use `context`, which
+/// must outlive the call of `app->parse`.
 void AddProcessCommands(CLI::App* app, CommandContext* context);
 void AddCheckCommand(CLI::App* app, CommandContext* context);
 void AddConfigCommands(CLI::App* app, CommandContext* context);
--- a/include/citronlane/cli/detail/fleet_report.h
+++ b/include/citronlane/cli/detail/fleet_report.h
@@ -10,14 +10,15 @@
 
 namespace citronlane::detail {
 
-/// Sums the metrics of several gateways into attainment by class and account,
-/// and cost by stage. Not thread safe.
+/// Adds up the metrics of several gateways to attainment by class and account,
+/// cost by stage, and refusals by reason. Not thread safe.
 class FleetReport {
  public:
-  /// Takes the text of one gateway's /metrics; lines of other metrics and lines
-  /// that can't be read are left out.
+  /// Adds the text of one gateway's /metrics. Skips lines of other metrics and
+  /// lines that can't be parsed.
   void Add(std::string_view metrics_text);
 
+  /// Returns the sums so far:
   /// {"attainment":[{"class","account","met","missed","share"}],
   ///  "cost_by_stage":[{"pipeline","stage","class","micro_units"}],
   ///  "refusals":[{"reason","class","account","count"}]}
--- a/include/citronlane/cli/run.h
+++ b/include/citronlane/cli/run.h
@@ -21,16 +21,17 @@
   kUsage = 2,
 };
 
-/// Adds commands of its own to the program's.
+/// Adds commands to those of the program.
 using ExtraCommands =
     std::function<void(CLI::App* app, detail::CommandContext* context)>;
 
-/// Runs the command line and returns the process's exit code. Call once, from
-/// the main thread.
+/// Runs the command line and returns the process's exit code. To be called
+/// once, from the main thread.
 int RunCommandLine(int argc, char** argv, const ExtraCommands& extra);
 
-/// The same with the arguments after the program's name and with the streams to
-/// print to.
+/// Runs the command line. `arguments` are those after the program's name;
+/// output and errors are written to the streams. To be called from the main
+/// thread.
 ExitCode RunCommandLine(absl::Span<const std::string> arguments,
                         std::ostream& out,
                         std::ostream& err,
--- a/src/cli/admin_client.cc
+++ b/src/cli/admin_client.cc
@@ -18,20 +18,24 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-constexpr int kMaxPointers = 4;
+// Most control VMs that are called in a chain of redirects.
+constexpr int kMaxHops = 4;
 constexpr int kTemporaryRedirect = 307;
 constexpr int kUnavailable = 503;
 constexpr milliseconds kTryTimeout(3000);
 constexpr milliseconds kRoundDelay(100);
+/// cxxtools' level of verification that requires a valid certificate.
 constexpr int kVerifyPeer = 2;
 
-milliseconds TimeLeft(steady_clock::time_point deadline) {
+// Returns the timeout of one try.
+milliseconds TryTimeout(steady_clock::time_point deadline) {
   const auto left =
       std::chrono::duration_cast<milliseconds>(deadline - steady_clock::now());
   return std::clamp(left, milliseconds(1), kTryTimeout);
 }
 
-// Splits "IP:port"; the port is checked by the caller's options.
+// Splits "IP:port". The addresses of the options are validated already; the
+// port of another one is 0 when it is not a number.
 std::pair<std::string, uint16_t> SplitAddress(const std::string& address) {
   const size_t colon = address.rfind(':');
   if (colon == std::string::npos) {
@@ -49,7 +53,7 @@
   return {host, static_cast<uint16_t>(port)};
 }
 
-// Returns "IP:port" of "scheme://IP:port/path".
+// Returns "IP:port" of a URL "scheme://IP:port/path".
 std::string AddressOf(const std::string& location) {
   const size_t scheme = location.find("://");
   const size_t begin = scheme == std::string::npos ? 0 : scheme + 3;
@@ -106,12 +110,12 @@
   return reply;
 }
 
-// The reason in a problem's body.
+// Returns the reason from the body of an error response (RFC 9457).
 std::string DetailOf(const AdminReply& reply) {
   const JsonValue* detail = reply.body_.Find("detail");
   return detail != nullptr && detail->IsString()
              ? detail->AsString()
-             : "answered " + std::to_string(reply.status_);
+             : "responded with status " + std::to_string(reply.status_);
 }
 
 }  // namespace
@@ -168,10 +172,11 @@
     const std::optional<std::string>& body,
     Deadline deadline,
     Error* error) const {
-  for (int pointers = 0; pointers < kMaxPointers; ++pointers) {
+  for (int hops = 0; hops < kMaxHops; ++hops) {
     Exchange exchange;
     try {
-      exchange = Send(options_, key_, address, path, body, TimeLeft(deadline));
+      exchange =
+          Send(options_, key_, address, path, body, TryTimeout(deadline));
     } catch (const std::exception& failure) {
       error->message_ = address + ": " + failure.what();
       return std::nullopt;
@@ -187,7 +192,8 @@
     }
     return reply;
   }
-  error->message_ = address + ": the control VMs point at each other";
+  error->message_ = address + ": more than " + std::to_string(kMaxHops - 1) +
+                    " redirects between control VMs";
   return std::nullopt;
 }
 
--- a/src/cli/check_command.cc
+++ b/src/cli/check_command.cc
@@ -15,9 +15,10 @@
 namespace citronlane::detail {
 namespace {
 
+// The version does not matter for validation.
 constexpr uint64_t kAnyVersion = 1;
 
-// What a file is, by its top-level keys.
+// Detects the kind of a file by its top-level keys.
 std::string_view KindOf(const std::string& text) {
   std::vector<Fault> ignored;
   const std::optional<JsonValue> root = ParseJsonCollecting(text, &ignored);
--- a/src/cli/command_context.cc
+++ b/src/cli/command_context.cc
@@ -39,7 +39,7 @@
   return value.IsString() ? value.AsString() : WriteJson(value);
 }
 
-// One line "name: value  name: value" of an object without containers.
+// Returns an object without nested containers as "name: value  name: value".
 std::string FlatText(const JsonValue& value) {
   std::string text;
   for (const auto& [name, member] : value.members()) {
@@ -107,8 +107,8 @@
            (detail != nullptr ? ": " + ScalarText(*detail) : std::string()));
   if (!json_ && reply.body_.IsObject()) {
     JsonValue rest = reply.body_;
-    for (const char* said : {"title", "status", "detail", "outcome"}) {
-      rest.Remove(said);
+    for (const char* shown : {"title", "status", "detail", "outcome"}) {
+      rest.Remove(shown);
     }
     PrintText(rest, kIndent, err_);
   }
--- a/src/cli/config_command.cc
+++ b/src/cli/config_command.cc
@@ -49,8 +49,8 @@
   return value;
 }
 
-// Returns the present version, so that the operator need not name the base.
-std::optional<uint64_t> PresentVersion(AdminClient* client, Error* error) {
+// Returns the current version, the default base of a change.
+std::optional<uint64_t> CurrentVersion(AdminClient* client, Error* error) {
   const std::optional<AdminReply> reply = client->Get("/v1/config", error);
   if (!reply) {
     return std::nullopt;
@@ -64,7 +64,8 @@
   return static_cast<uint64_t>(version->AsNumber());
 }
 
-// Fills the body's content from the file that the options name.
+// Sets the member of the body that has the content of the change: the version
+// to roll back to, or the file that the options name.
 bool SetContent(const ChangeOptions& options, JsonValue* body, Error* error) {
   if (options.rollback_to_ != kNoVersion) {
     body->Set("version", Number(options.rollback_to_));
@@ -103,7 +104,7 @@
   }
 }
 
-// Waits until the version is in force everywhere, at most the timeout.
+// Polls until the version is in force on all gateways or the timeout is over.
 void WaitInForce(uint64_t version,
                  AdminClient* client,
                  CommandContext* context) {
@@ -163,7 +164,7 @@
   AdminClient client(context->admin_);
   std::optional<uint64_t> base = options.base_version_;
   if (options.base_version_ == kNoVersion) {
-    base = PresentVersion(&client, &error);
+    base = CurrentVersion(&client, &error);
   }
   if (!base) {
     context->Fail(ExitCode::kFailure, error.message_);
--- a/src/cli/fleet_report.cc
+++ b/src/cli/fleet_report.cc
@@ -15,8 +15,8 @@
   double value_ = 0;
 };
 
-// Reads the quoted value that `text` starts with, and removes it.
-std::optional<std::string> TakeQuoted(std::string_view* text) {
+// Reads the quoted value at the start of `text` and removes it from there.
+std::optional<std::string> ConsumeQuoted(std::string_view* text) {
   if (text->empty() || text->front() != '"') {
     return std::nullopt;
   }
@@ -33,7 +33,8 @@
   return std::nullopt;
 }
 
-// Reads `name{label="value",...} number`; the labels' order is the metric's.
+// Parses `name{label="value",...} number`. Gateways write labels in the order
+// of the metric's definition, so their names are skipped.
 std::optional<Sample> ParseSample(std::string_view line) {
   Sample sample;
   const size_t open = line.find('{');
@@ -48,7 +49,7 @@
       return std::nullopt;
     }
     line.remove_prefix(equals + 1);
-    std::optional<std::string> value = TakeQuoted(&line);
+    std::optional<std::string> value = ConsumeQuoted(&line);
     if (!value) {
       return std::nullopt;
     }
--- a/src/cli/member_command.cc
+++ b/src/cli/member_command.cc
@@ -10,7 +10,7 @@
 namespace citronlane::detail {
 namespace {
 
-// Options of the commands that change the control VMs.
+// Options of the commands that change the set of control VMs.
 struct MemberOptions {
   uint64_t id_ = 0;
   std::string replication_;
@@ -18,9 +18,9 @@
   std::string admin_;
 };
 
-void Report(const std::optional<AdminReply>& reply,
-            const Error& error,
-            CommandContext* context) {
+void PrintResult(const std::optional<AdminReply>& reply,
+                 const Error& error,
+                 CommandContext* context) {
   if (reply) {
     context->PrintReply(*reply);
   } else {
@@ -40,20 +40,21 @@
     body.Set("admin", JsonValue::String(options.admin_));
   }
   Error error;
-  Report(AdminClient(context->admin_).Post("/v1/members", body, &error), error,
-         context);
+  PrintResult(AdminClient(context->admin_).Post("/v1/members", body, &error),
+              error, context);
 }
 
 void RunDrain(const std::string& server, CommandContext* context) {
   if (!IsName(server)) {
-    context->Fail(ExitCode::kUsage, "this is no id of a backend server");
+    context->Fail(ExitCode::kUsage,
+                  "\"" + server + "\" is not an id of a backend server");
     return;
   }
   Error error;
-  Report(AdminClient(context->admin_)
-             .Post("/v1/servers/" + server + "/drain", JsonValue::Object(),
-                   &error),
-         error, context);
+  PrintResult(AdminClient(context->admin_)
+                  .Post("/v1/servers/" + server + "/drain", JsonValue::Object(),
+                        &error),
+              error, context);
 }
 
 CLI::App* AddAction(CLI::App* group,
@@ -72,7 +73,7 @@
 void AddAdd(CLI::App* group, CommandContext* context) {
   const auto options = std::make_shared<MemberOptions>();
   CLI::App* command = AddAction(
-      group, "add", "Let a new control VM in as a learner", options, context);
+      group, "add", "Add a new control VM as a learner", options, context);
   command->add_option("--replication", options->replication_, "Its address")
       ->required()
       ->check(EndpointValidator());
@@ -94,9 +95,9 @@
   AddAdminOptions(list, context);
   list->callback([context] { RunGet("/v1/members", context); });
   AddAdd(group, context);
-  AddAction(group, "promote", "Make a learner that caught up a voter",
+  AddAction(group, "promote", "Make a learner that has caught up a voter",
             std::make_shared<MemberOptions>(), context);
-  AddAction(group, "remove", "Take a control VM out for good",
+  AddAction(group, "remove", "Remove a control VM permanently",
             std::make_shared<MemberOptions>(), context);
 
   CLI::App* drain = app->add_subcommand(
--- a/src/cli/order_command.cc
+++ b/src/cli/order_command.cc
@@ -39,7 +39,8 @@
 
 void RunSubmit(const OrderOptions& options, CommandContext* context) {
   if (!IsName(options.server_)) {
-    context->Fail(ExitCode::kUsage, "this is no id of a backend server");
+    context->Fail(ExitCode::kUsage, "\"" + options.server_ +
+                                        "\" is not an id of a backend server");
     return;
   }
   const JsonValue body = BodyOf(options);
--- a/src/cli/process_command.cc
+++ b/src/cli/process_command.cc
@@ -22,16 +22,19 @@
 namespace citronlane::detail {
 namespace {
 
-// Takes the gRPC library's lines, so that all have the settings' layout.
+// Log function of the gRPC library; gives its lines the layout of the settings.
 void WriteGrpcLine(gpr_log_func_args* line) {
   static const Logger logger("grpc");
   const bool is_error = line->severity == GPR_LOG_SEVERITY_ERROR;
   logger.Write(is_error ? LogLevel::kWarn : LogLevel::kDebug, line->message);
 }
 
-// Reads the file with `parse`, prints all faults, and sets up logging.
+// Reads the file with `parse`, prints all validation errors and configures
+// logging.
 template <typename Parse>
-auto Load(const std::string& path, const Parse& parse, CommandContext* context)
+auto LoadSettings(const std::string& path,
+                  const Parse& parse,
+                  CommandContext* context)
     -> decltype(parse("", path, nullptr)) {
   Error error;
   const std::optional<std::string> text = ReadFile(path, &error);
@@ -48,8 +51,8 @@
     }
     return std::nullopt;
   }
-  // Threads of the logging library start before the process's own: they must
-  // not take the signals that stop it.
+  // Blocks the stop signals before the logging library starts its threads,
+  // which inherit the signal mask and must not receive them.
   const StopSignals signals;
   if (!ConfigureLogging(settings->log_, &error)) {
     context->Fail(ExitCode::kUsage, error.message_);
@@ -60,7 +63,7 @@
 }
 
 void RunGatewayCommand(const std::string& path, CommandContext* context) {
-  const auto settings = Load(path, ParseGatewaySettings, context);
+  const auto settings = LoadSettings(path, ParseGatewaySettings, context);
   if (!settings) {
     return;
   }
@@ -72,7 +75,7 @@
 }
 
 void RunControlCommand(const std::string& path, CommandContext* context) {
-  const auto settings = Load(path, ParseControlSettings, context);
+  const auto settings = LoadSettings(path, ParseControlSettings, context);
   if (!settings) {
     return;
   }
@@ -89,11 +92,12 @@
   }
 }
 
-// Says what there is to do about the data folder; does it only with --apply.
+// Reports the condition of the data folder; moves it aside if that is needed
+// and `apply` is set.
 void RunRecoverCommand(const std::string& path,
                        bool apply,
                        CommandContext* context) {
-  const auto settings = Load(path, ParseControlSettings, context);
+  const auto settings = LoadSettings(path, ParseControlSettings, context);
   if (!settings) {
     return;
   }
@@ -113,7 +117,7 @@
     return;
   }
   if (!apply) {
-    context->out_ << "Nothing was changed; --apply does it.\n";
+    context->out_ << "Nothing was changed; use --apply to do this.\n";
   } else if (SetDataFolderAside(files, replica.data_dir_, *report, &error)) {
     context->out_ << "Done.\n";
   } else {
@@ -123,7 +127,7 @@
 
 using Run = void (*)(const std::string& path, CommandContext* context);
 
-// Returns where the path of the settings will be.
+// Returns the variable that parsing sets to the path of the settings.
 std::shared_ptr<std::string> AddProcess(CLI::App* app,
                                         const std::string& name,
                                         const std::string& help,
@@ -144,8 +148,8 @@
   const auto apply = std::make_shared<bool>(false);
   CLI::Option* flag = control->add_flag(
       "--recover", *recover,
-      "Do not serve: say what there is to do about the data folder");
-  control->add_flag("--apply", *apply, "With --recover: do what it says")
+      "Do not serve: report what has to be done about the data folder");
+  control->add_flag("--apply", *apply, "With --recover: do what it reports")
       ->needs(flag);
   control->callback([path, recover, apply, context] {
     if (*recover) {
@@ -160,7 +164,7 @@
 
 void AddProcessCommands(CLI::App* app, CommandContext* context) {
   AddProcess(app, "gateway",
-             "Serve callers until SIGTERM, then finish what is in flight",
+             "Serve callers until SIGTERM, then finish requests in flight",
              RunGatewayCommand, context);
   const auto path = AddProcess(app, "control",
                                "Serve as one of the control VMs until SIGTERM",
--- a/src/cli/run.cc
+++ b/src/cli/run.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr char kFooter[] =
-    "Exit codes: 0 success, 1 failure, 2 wrong usage or faulty settings.";
+    "Exit codes: 0 success, 1 failure, 2 wrong usage or invalid settings.";
 
 }  // namespace
 
--- a/src/cli/status_command.cc
+++ b/src/cli/status_command.cc
@@ -18,7 +18,7 @@
 
 constexpr int kOk = 200;
 
-// For the status command each VM gets one short try.
+// Short, so that the status is printed soon when some VMs do not respond.
 constexpr std::chrono::milliseconds kTryTimeout(1000);
 
 std::optional<AdminReply> GetFrom(const std::string& address,
@@ -30,7 +30,8 @@
   std::optional<AdminReply> reply =
       AdminClient(std::move(options)).Get(path, error);
   if (reply && reply->status_ != kOk) {
-    error->message_ = address + " answered " + std::to_string(reply->status_);
+    error->message_ =
+        address + " responded with status " + std::to_string(reply->status_);
     return std::nullopt;
   }
   return reply;
@@ -43,7 +44,7 @@
   return item;
 }
 
-// Asks every control VM; returns whether one answered.
+// Adds the status of every control VM; returns whether one responded.
 bool AddControlVms(const CommandContext& context, JsonValue* status) {
   JsonValue nodes = JsonValue::Array();
   bool any = false;
@@ -58,7 +59,8 @@
   return any;
 }
 
-// Sums the metrics of the gateways, over plain HTTP without the key.
+// Adds up the metrics of the gateways. They are read over plain HTTP, so the
+// operator's key must not be sent.
 void AddGateways(const std::vector<std::string>& gateways, JsonValue* status) {
   FleetReport report;
   JsonValue unreachable = JsonValue::Array();
@@ -92,8 +94,8 @@
   }
 }
 
-// Adds what the reason's number means, unless control says so already.
-void Explain(JsonValue* record) {
+// Adds the name and the description of the reason's number.
+void AddReasonText(JsonValue* record) {
   const JsonValue* number = record->Find("reason");
   if (number == nullptr || !number->IsNumber()) {
     return;
@@ -105,7 +107,7 @@
 
 void RunExplain(const std::string& id, CommandContext* context) {
   if (!IsName(id)) {
-    context->Fail(ExitCode::kUsage, "this is no refusal id");
+    context->Fail(ExitCode::kUsage, "\"" + id + "\" is not a refusal id");
     return;
   }
   Error error;
@@ -116,7 +118,7 @@
     return;
   }
   if (reply->status_ == kOk) {
-    Explain(&reply->body_);
+    AddReasonText(&reply->body_);
   }
   context->PrintReply(*reply);
 }
@@ -129,7 +131,8 @@
   const auto gateways = std::make_shared<std::vector<std::string>>();
   status
       ->add_option("--gateways", *gateways,
-                   "Gateways to ask for attainment, cost by stage and refusals")
+                   "Gateways whose attainment, cost by stage and refusals are "
+                   "added up")
       ->delimiter(',')
       ->check(EndpointValidator());
   AddAdminOptions(status, context);
@@ -138,7 +141,7 @@
   CLI::App* explain = app->add_subcommand(
       "explain", "Print why a request was refused, with its figures");
   const auto id = std::make_shared<std::string>();
-  explain->add_option("REFUSAL-ID", *id, "Id from the refusal's answer")
+  explain->add_option("REFUSAL-ID", *id, "Id from the refusal's response")
       ->required();
   AddAdminOptions(explain, context);
   explain->callback([id, context] { RunExplain(*id, context); });
--- a/src/cli/verify_command.cc
+++ b/src/cli/verify_command.cc
@@ -18,7 +18,7 @@
   return member != nullptr && member->IsString() ? member->AsString() : "";
 }
 
-// Returns 0 for what no gateway writes.
+// Returns 0 for values that no gateway writes.
 uint64_t NumberOf(const JsonValue& body, std::string_view name) {
   constexpr double kLargestExactInteger = 9007199254740992.0;
   const JsonValue* member = body.Find(name);
@@ -38,8 +38,9 @@
   return Verdict::kMayHaveRun;
 }
 
-// The refusal that the body of an answer describes; what is missing or of
-// another type makes the receipt wrong.
+// Returns the refusal that the body of a response describes. Members that are
+// missing or of another type get defaults, with which the receipt does not
+// match.
 RefusalEntry EntryOf(const JsonValue& body) {
   RefusalEntry entry;
   entry.id_ = TextOf(body, "refusal_id");
@@ -62,7 +63,7 @@
 
 bool IsGenuine(const JsonValue& body, std::string_view key) {
   const RefusalEntry entry = EntryOf(body);
-  // The verdict's text is signed, and no other text stands for it.
+  // VerdictOf maps unknown texts to kMayHaveRun, so the text is compared too.
   return TextOf(body, "verdict") == ToString(entry.verdict_) &&
          TextOf(body, "receipt") == SignReceipt(entry, key);
 }
@@ -97,10 +98,10 @@
 
 void AddVerifyCommand(CLI::App* app, CommandContext* context) {
   CLI::App* command = app->add_subcommand(
-      "verify", "Check the receipt of a refusal's answer, without control");
+      "verify", "Check the receipt of a refusal without calling control");
   const auto file = std::make_shared<std::string>();
   const auto key_file = std::make_shared<std::string>();
-  command->add_option("FILE", *file, "Body of the answer")->required();
+  command->add_option("FILE", *file, "Body of the response")->required();
   command
       ->add_option("--receipt-key-file", *key_file,
                    "The gateways' receipt_key_file")
--- a/tests/unit-cli.cc
+++ b/tests/unit-cli.cc
@@ -25,18 +25,18 @@
 namespace http = boost::beast::http;
 using Tcp = boost::asio::ip::tcp;
 
-struct Answer {
+struct Response {
   int status_ = 200;
   std::string body_;
   std::string location_ = "";
 };
 
-// A control VM that gives prepared answers, one a connection, and keeps what
-// it was asked. An answer of status 0 closes the connection without a reply.
+// A control VM that sends prepared responses, one per connection, and records
+// the requests. Status 0 closes the connection without a response.
 class FakeControl {
  public:
-  explicit FakeControl(std::deque<Answer> answers)
-      : answers_(std::move(answers)),
+  explicit FakeControl(std::deque<Response> responses)
+      : responses_(std::move(responses)),
         acceptor_(context_, {boost::asio::ip::make_address("127.0.0.1"), 0}),
         thread_([this] { Serve(); }) {}
   ~FakeControl() { Join(); }
@@ -44,7 +44,7 @@
   std::string address() const {
     return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
   }
-  // Waits until every answer is given; returns "METHOD target body" lines.
+  // Waits until all responses are sent; returns "METHOD target body" lines.
   const std::vector<std::string>& Join() {
     if (thread_.joinable()) {
       thread_.join();
@@ -54,7 +54,7 @@
 
  private:
   void Serve() {
-    for (const Answer& answer : answers_) {
+    for (const Response& prepared : responses_) {
       Tcp::socket socket = acceptor_.accept();
       boost::beast::flat_buffer buffer;
       http::request<http::string_body> request;
@@ -64,21 +64,21 @@
       line << request.method_string() << ' ' << request.target() << ' '
            << request.body();
       requests_.push_back(line.str());
-      if (answer.status_ == 0) {
+      if (prepared.status_ == 0) {
         continue;
       }
       http::response<http::string_body> response(
-          static_cast<http::status>(answer.status_), 11);
-      if (!answer.location_.empty()) {
-        response.set(http::field::location, answer.location_);
+          static_cast<http::status>(prepared.status_), 11);
+      if (!prepared.location_.empty()) {
+        response.set(http::field::location, prepared.location_);
       }
-      response.body() = answer.body_;
+      response.body() = prepared.body_;
       response.prepare_payload();
       http::write(socket, response, failure);
     }
   }
 
-  const std::deque<Answer> answers_;
+  const std::deque<Response> responses_;
   boost::asio::io_context context_;
   Tcp::acceptor acceptor_;
   std::vector<std::string> requests_;
@@ -98,7 +98,7 @@
   return {code, out.str(), err.str()};
 }
 
-// Writes a file that is removed at the end.
+// Writes a file that is removed at destruction.
 class TemporaryFile {
  public:
   explicit TemporaryFile(const std::string& text,
@@ -157,7 +157,7 @@
     CHECK_THAT(Run({"check", file.path()}).err_,
                Catch::Contains("gateway.name: line 1: missing"));
   }
-  SECTION("processes refuse faulty settings with 2 before they start") {
+  SECTION("processes refuse invalid settings with 2 before they start") {
     const TemporaryFile file("{\"gateway\": 1,\n \"log\": {\"level\": 3}}");
     const Outcome outcome = Run({"gateway", "--settings", file.path()});
     CHECK(outcome.code_ == ExitCode::kUsage);
@@ -216,10 +216,10 @@
         .code_;
   };
 
-  SECTION("of the answer as it was given are genuine") {
+  SECTION("of unchanged responses are genuine") {
     CHECK(verify(body) == ExitCode::kSuccess);
   }
-  SECTION("do not belong to an answer with anything changed") {
+  SECTION("do not match a response with any change") {
     for (const auto& [from, to] :
          std::vector<std::pair<const char*, const char*>>{
              {"303", "302"},
@@ -239,7 +239,7 @@
 }
 
 TEST_CASE("administration client") {
-  SECTION("sends a change again with the same id until it has an answer") {
+  SECTION("sends a change again with the same id until it has a response") {
     FakeControl control({{200, R"({"version":4})"},
                          {0, ""},
                          {503, "{}"},
@@ -258,7 +258,7 @@
     CHECK(Member(requests[1], "patch") == R"({"classes":{"chat":null}})");
     CHECK(Member(requests[1], "change_id") == Member(requests[3], "change_id"));
   }
-  SECTION("follows the pointer to the leader, and tries the next address") {
+  SECTION("follows redirects to the leader, and tries the next address") {
     FakeControl leader({{200, R"({"term":3})"}});
     FakeControl follower(
         {{307, "", "http://" + leader.address() + "/v1/status"}});
--- a/tests/unit-reference.cc
+++ b/tests/unit-reference.cc
@@ -48,11 +48,11 @@
   return found;
 }
 
-// Places an object with the probe somewhere in a document.
+// A place in a document at which an object with the probe is inserted.
 struct Place {
   std::string before_;
   std::string after_;
-  // Path of the object in faults, and as the pages write it.
+  // Path of the object in validation errors, and as the pages write it.
   std::string path_;
   std::string shown_;
 };
@@ -180,7 +180,7 @@
       CHECK(Mentions(page, key));
     }
   }
-  SECTION("name no settings key that is not there") {
+  SECTION("name no settings key that does not exist") {
     std::set<std::string> keys = AllKeys(GatewayFaults);
     keys.merge(AllKeys(ControlFaults));
     keys.merge(AllKeys(ConfigurationFaults));
