--- a/tests/fakes/answers.cc
+++ b/tests/fakes/answers.cc
@@ -21,7 +21,7 @@
   const JsonView* given = ArrayAt(body, "embedding");
   const auto wanted = EmbeddingOf(StringAt(body, "query"));
   if (given == nullptr || given->Empty()) {
-    return true;  // A pipeline without an encoder.
+    return true;  // The pipeline has no encoder.
   }
   if (given->Size() != wanted.size()) {
     return false;
@@ -84,7 +84,7 @@
   writer->EndArray();
 }
 
-/// Turns the order round.
+/// Ranks the documents in reverse order.
 void WriteRanking(JsonWriter* writer, const JsonView& body) {
   const JsonView* documents = ArrayAt(body, "documents");
   const int64_t size = documents == nullptr ? 0 : documents->Size();
@@ -126,9 +126,9 @@
   return kind == "engine" && !ContextMatches(StringAt(body, "prompt"));
 }
 
-std::string AnswerOf(const ServerSpec& spec,
-                     const JsonView& body,
-                     std::string_view raw) {
+std::string ReplyBody(const ServerSpec& spec,
+                      const JsonView& body,
+                      std::string_view raw) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   writer.StartObject();
--- a/tests/fakes/answers.h
+++ b/tests/fakes/answers.h
@@ -9,18 +9,19 @@
 
 namespace citronlane::fakes {
 
-/// The caller's text that a call of this kind of server is for.
+/// Returns the caller's text for which a server of this kind is called. `raw`
+/// is the unparsed body.
 std::string TextOf(std::string_view kind,
                    const JsonView& body,
                    std::string_view raw);
 
-/// Whether the inputs of the call belong to different requests.
+/// Returns whether the inputs of the call belong to different requests.
 bool IsMixed(std::string_view kind, const JsonView& body);
 
-/// Body of the reply of every kind but the engine.
-std::string AnswerOf(const ServerSpec& spec,
-                     const JsonView& body,
-                     std::string_view raw);
+/// Returns the body of the reply for all kinds but the engine.
+std::string ReplyBody(const ServerSpec& spec,
+                      const JsonView& body,
+                      std::string_view raw);
 
 }  // namespace citronlane::fakes
 
--- a/tests/fakes/connection.cc
+++ b/tests/fakes/connection.cc
@@ -23,7 +23,7 @@
 constexpr int64_t kManyTokens = 1U << 20U;
 constexpr int64_t kUsPerMs = 1000;
 constexpr size_t kOversizeBytes = 64U << 20U;
-// What a reply of another request's attempt holds.
+// Id and text of a reply that belongs to the attempt of another request.
 constexpr char kOtherAttempt[] = "another-1-1/0/1";
 constexpr char kOtherText[] = "text of another request";
 constexpr char kAttemptHeader[] = "X-Attempt-Id";
@@ -96,7 +96,7 @@
     self->closed_ = true;
     self->stream_.close();
   });
-  // The strand runs what is posted in turn.
+  // The strand runs handlers in order, so this one resumes after the close.
   asio::post(stream_.get_executor(), yield);
 }
 
@@ -106,18 +106,18 @@
     parser.body_limit(kBodyLimit);
     beast::error_code error;
     http::async_read(stream_, buffer_, parser, yield[error]);
-    if (error || closed_ || !Answer(parser.get(), yield)) {
+    if (error || closed_ || !HandleCall(parser.get(), yield)) {
       break;
     }
   }
   stream_.close();
 }
 
-bool Connection::Answer(const Request& request, const Yield& yield) {
+bool Connection::HandleCall(const Request& request, const Yield& yield) {
   attempt_ = Header(request, kAttemptHeader);
   draining_ = false;
   if (server_->spec().kind_ == "platform") {
-    return AnswerList(yield);
+    return ReplyWithList(yield);
   }
   Json body;
   body.Parse(request.body().data(), request.body().size());
@@ -130,7 +130,7 @@
   const std::string text = TextOf(server_->spec().kind_, body, request.body());
   record.text_ = Digest(text, "text", 0);
   if (request.target() == "/v1/orders") {
-    return AnswerOrder(body, std::move(record), yield);
+    return HandleOrder(body, std::move(record), yield);
   }
   const Plan plan = server_->NextPlan();
   draining_ = plan.drain_;
@@ -141,19 +141,19 @@
   record.ran_ = true;
   record.mixed_ = IsMixed(server_->spec().kind_, body);
   if (server_->spec().kind_ == "engine") {
-    return AnswerEngine(body, plan, std::move(record), yield);
+    return HandleEngineCall(body, plan, std::move(record), yield);
   }
-  return AnswerOnce(request, body, plan, std::move(record), yield);
+  return HandlePlainCall(request, body, plan, std::move(record), yield);
 }
 
-bool Connection::AnswerList(const Yield& yield) {
+bool Connection::ReplyWithList(const Yield& yield) {
   rapidjson::StringBuffer buffer;
   JsonWriter writer(buffer);
   server_->WriteList(&writer);
   return Reply(200, buffer.GetString(), yield);
 }
 
-bool Connection::AnswerOrder(const Json& body,
+bool Connection::HandleOrder(const Json& body,
                              RunRecord record,
                              const Yield& yield) {
   record.mode_ = "order";
@@ -165,11 +165,11 @@
   return open;
 }
 
-bool Connection::AnswerOnce(const Request& request,
-                            const Json& body,
-                            const Plan& plan,
-                            RunRecord record,
-                            const Yield& yield) {
+bool Connection::HandlePlainCall(const Request& request,
+                                 const Json& body,
+                                 const Plan& plan,
+                                 RunRecord record,
+                                 const Yield& yield) {
   const size_t index = server_->AddRecord(std::move(record));
   Sleep(plan.slow_ms_ * kUsPerMs, yield);
   WaitWhileHeld(0, yield);
@@ -179,8 +179,8 @@
   }
   const Json other = OtherCall();
   std::string answer = plan.wrong_id_
-                           ? AnswerOf(server_->spec(), other, kOtherText)
-                           : AnswerOf(server_->spec(), body, request.body());
+                           ? ReplyBody(server_->spec(), other, kOtherText)
+                           : ReplyBody(server_->spec(), body, request.body());
   if (plan.garbage_) {
     answer = "{\"data\": [";
   } else if (plan.oversize_) {
@@ -194,16 +194,16 @@
   return open;
 }
 
-bool Connection::AnswerEngine(const Json& body,
-                              const Plan& plan,
-                              RunRecord record,
-                              const Yield& yield) {
+bool Connection::HandleEngineCall(const Json& body,
+                                  const Plan& plan,
+                                  RunRecord record,
+                                  const Yield& yield) {
   std::string question = QuestionOf(StringAt(body, "prompt"));
   if (const auto resume = body.FindMember("resume");
       resume != body.MemberEnd() && resume->value.IsObject()) {
     record.mode_ = "resume";
     record.from_token_ = NumberAt(resume->value, "offset", 0);
-    const auto known = server_->Recall(StringAt(resume->value, "id"));
+    const auto known = server_->FindStream(StringAt(resume->value, "id"));
     if (!known) {
       record.ran_ = false;
       server_->EndRecord(server_->AddRecord(std::move(record)), 0, false);
@@ -223,7 +223,7 @@
     return !plan.close_after_read_ &&
            Reply(plan.fail_ ? 500 : 200, "{\"cho", yield);
   }
-  server_->Remember(attempt_, question);
+  server_->StoreStream(attempt_, question);
   if (plan.wrong_id_) {
     attempt_ = kOtherAttempt;
     question = kOtherText;
@@ -255,7 +255,7 @@
       server_->EndRecord(index, token, false);
       return false;
     }
-    if (server_->Held(token)) {
+    if (server_->IsHeld(token)) {
       open = WriteText(pending, yield);
       pending.clear();
       WaitWhileHeld(token, yield);
@@ -316,7 +316,7 @@
 }
 
 void Connection::WaitWhileHeld(size_t token, const Yield& yield) {
-  while (!closed_ && server_->Held(token)) {
+  while (!closed_ && server_->IsHeld(token)) {
     Sleep(kHoldPollUs, yield);
   }
 }
--- a/tests/fakes/connection.h
+++ b/tests/fakes/connection.h
@@ -12,16 +12,16 @@
 
 namespace citronlane::fakes {
 
-/// One connection to a FakeServer. Runs on one strand.
+/// One connection to a FakeServer. Runs on its own strand.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(std::shared_ptr<FakeServer> server,
              boost::asio::ip::tcp::socket socket);
 
-  /// Serves calls until the peer or a fault ends the connection.
+  /// Serves calls until the peer or an injected fault ends the connection.
   void Start();
   using Yield = boost::asio::yield_context;
-  /// Closes the socket; it is closed on return. From any thread.
+  /// Returns once the socket is closed. Thread safe.
   void Close(const Yield& yield);
 
  private:
@@ -29,19 +29,20 @@
   using Plan = FakeServer::Plan;
 
   void Run(const Yield& yield);
-  /// These return whether the connection stays open.
-  bool Answer(const Request& request, const Yield& yield);
-  bool AnswerList(const Yield& yield);
-  bool AnswerOrder(const Json& body, RunRecord record, const Yield& yield);
-  bool AnswerOnce(const Request& request,
-                  const Json& body,
-                  const Plan& plan,
-                  RunRecord record,
-                  const Yield& yield);
-  bool AnswerEngine(const Json& body,
-                    const Plan& plan,
-                    RunRecord record,
-                    const Yield& yield);
+  /// The functions from here to WriteText, but for ReplyHeaders, return whether
+  /// the connection stays open.
+  bool HandleCall(const Request& request, const Yield& yield);
+  bool ReplyWithList(const Yield& yield);
+  bool HandleOrder(const Json& body, RunRecord record, const Yield& yield);
+  bool HandlePlainCall(const Request& request,
+                       const Json& body,
+                       const Plan& plan,
+                       RunRecord record,
+                       const Yield& yield);
+  bool HandleEngineCall(const Json& body,
+                        const Plan& plan,
+                        RunRecord record,
+                        const Yield& yield);
   bool StreamTokens(const std::string& question,
                     const Json& body,
                     const Plan& plan,
@@ -56,7 +57,7 @@
   const std::shared_ptr<FakeServer> server_;
   boost::beast::tcp_stream stream_;
   boost::beast::flat_buffer buffer_;
-  /// Echoed by replies.
+  /// Attempt id of the call, which the reply echoes.
   std::string attempt_;
   bool draining_ = false;
   bool closed_ = false;
--- a/tests/fakes/content.h
+++ b/tests/fakes/content.h
@@ -8,32 +8,34 @@
 
 namespace citronlane::fakes {
 
-/// What the fakes answer follows from the caller's text alone, so that a
-/// caller can tell that an answer is whole and its own, and each fake can tell
-/// that its inputs belong to one request. All functions are pure.
+/// Content of the fakes' replies. It depends on the caller's text only, so that
+/// a caller can verify that its response is complete and its own, and a fake
+/// that all of its inputs belong to one request. All functions are pure.
 
-/// First eight hexadecimal digits of SHA-256 of "<text>/<label>/<index>".
+/// Returns the first eight hexadecimal digits of the SHA-256 digest of
+/// "<text>/<label>/<index>".
 std::string Digest(std::string_view text, std::string_view label, size_t index);
 
-/// Token `index` of the engine's answer, with a trailing space.
+/// Returns token `index` of the engine's reply, with a trailing space.
 std::string TokenOf(std::string_view question, size_t index);
 
-/// Tokens 0 to `count` - 1 in a row.
+/// Returns tokens 0 to `count` - 1, concatenated.
 std::string TokensOf(std::string_view question, size_t count);
 
-/// Text of the retriever's document `index`.
+/// Returns the text of the retriever's document `index`.
 std::string DocumentOf(std::string_view query, size_t index);
 
-/// Whether the document is one of those of the query.
+/// Returns whether the document belongs to the query.
 bool IsDocumentOf(std::string_view query, std::string_view document);
 
-/// Embedding of the text: numbers of three decimals.
+/// Returns the embedding of the text: numbers with three decimals.
 std::vector<double> EmbeddingOf(std::string_view text);
 
-/// Text after the last "Question: " of an engine's prompt.
+/// Returns the text after the last "Question: " in an engine's prompt.
 std::string QuestionOf(std::string_view prompt);
 
-/// Whether each context line of the prompt is a document of its question.
+/// Returns whether all context lines of the prompt are documents of its
+/// question.
 bool ContextMatches(std::string_view prompt);
 
 }  // namespace citronlane::fakes
--- a/tests/fakes/fake_server.cc
+++ b/tests/fakes/fake_server.cc
@@ -11,10 +11,10 @@
 
 using boost::asio::ip::tcp;
 
-constexpr size_t kMostStreams = 4096;
+constexpr size_t kMaxStreams = 4096;
 
-/// Takes one of a count.
-bool Take(int64_t* count) {
+/// Decrements a count unless it is 0; returns whether it did.
+bool Consume(int64_t* count) {
   if (*count <= 0) {
     return false;
   }
@@ -73,7 +73,7 @@
     auto connection =
         std::make_shared<Connection>(shared_from_this(), std::move(socket));
     const std::lock_guard<std::mutex> lock(mutex_);
-    // Stopped since the connection came.
+    // The server was stopped after the connection was accepted.
     if (!acceptor->is_open()) {
       return;
     }
@@ -127,7 +127,7 @@
   }
   const std::string leave = StringAt(order, "leave");
   if (!leave.empty()) {
-    left_at_ = leave == "no" ? std::nullopt : std::make_optional(Now());
+    drain_time_ = leave == "no" ? std::nullopt : std::make_optional(Now());
     drain_ = leave == "drain" || leave == "drain_unlisted";
     listed_ = leave != "drain_unlisted";
   }
@@ -161,14 +161,14 @@
   if (drain_) {
     return plan;
   }
-  plan.reject_ = Take(&faults_.reject_);
-  plan.close_before_run_ = Take(&faults_.close_before_run_);
-  plan.fail_ = Take(&faults_.fail_);
-  plan.close_after_read_ = Take(&faults_.close_after_read_);
-  plan.wrong_id_ = Take(&faults_.wrong_id_);
-  plan.garbage_ = Take(&faults_.garbage_);
-  plan.oversize_ = Take(&faults_.oversize_);
-  if (spec_.kind_ == "engine" && Take(&faults_.cut_stream_)) {
+  plan.reject_ = Consume(&faults_.reject_);
+  plan.close_before_run_ = Consume(&faults_.close_before_run_);
+  plan.fail_ = Consume(&faults_.fail_);
+  plan.close_after_read_ = Consume(&faults_.close_after_read_);
+  plan.wrong_id_ = Consume(&faults_.wrong_id_);
+  plan.garbage_ = Consume(&faults_.garbage_);
+  plan.oversize_ = Consume(&faults_.oversize_);
+  if (spec_.kind_ == "engine" && Consume(&faults_.cut_stream_)) {
     plan.cut_at_ = faults_.cut_at_;
   }
   return plan;
@@ -178,8 +178,8 @@
   const std::lock_guard<std::mutex> lock(mutex_);
   ++queued_;
   record.time_ = Now();
-  if (left_at_) {
-    record.left_for_ = record.time_ - *left_at_;
+  if (drain_time_) {
+    record.draining_for_ = record.time_ - *drain_time_;
   }
   if (spec_.record_) {
     records_.push_back(std::move(record));
@@ -198,21 +198,21 @@
   record.answered_ = answered;
 }
 
-bool FakeServer::Held(size_t token) {
+bool FakeServer::IsHeld(size_t token) {
   const std::lock_guard<std::mutex> lock(mutex_);
   return faults_.hold_ && faults_.hold_at_ == token;
 }
 
-void FakeServer::Remember(const std::string& attempt,
-                          const std::string& question) {
+void FakeServer::StoreStream(const std::string& attempt,
+                             const std::string& question) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  if (streams_.size() >= kMostStreams) {
+  if (streams_.size() >= kMaxStreams) {
     streams_.erase(streams_.begin());
   }
   streams_[attempt] = question;
 }
 
-std::optional<std::string> FakeServer::Recall(const std::string& attempt) {
+std::optional<std::string> FakeServer::FindStream(const std::string& attempt) {
   const std::lock_guard<std::mutex> lock(mutex_);
   const auto found = streams_.find(attempt);
   return found == streams_.end() ? std::nullopt
@@ -258,7 +258,7 @@
     writer->Key("mixed");
     writer->Bool(record.mixed_);
     writer->Key("left_for");
-    writer->Double(record.left_for_);
+    writer->Double(record.draining_for_);
     writer->Key("from_token");
     writer->Uint64(record.from_token_);
     writer->Key("to_token");
@@ -279,7 +279,7 @@
   writer->Key("id");
   Write(writer, spec_.id_);
   writer->Key("state");
-  Write(writer, left_at_ && listed_ ? "leaving" : "live");
+  Write(writer, drain_time_ && listed_ ? "leaving" : "live");
   writer->Key("incarnation");
   writer->Int64(incarnation_);
   writer->EndObject();
--- a/tests/fakes/fake_server.h
+++ b/tests/fakes/fake_server.h
@@ -23,8 +23,8 @@
 
 class Connection;
 
-/// One backend server (or the platform's VM list) that answers by its kind,
-/// does wrong as it is told, and records each call. Thread safe.
+/// A fake backend server (or server of the platform's VM list) that replies by
+/// its kind, injects faults on request, and records each call. Thread safe.
 class FakeServer : public std::enable_shared_from_this<FakeServer> {
  public:
   /// Writes the platform's VM list.
@@ -32,16 +32,17 @@
 
   FakeServer(boost::asio::io_context* context, ServerSpec spec, ListHook list);
 
-  /// Opens the port and takes connections; throws boost::system::system_error.
+  /// Opens the port and accepts connections. Throws
+  /// boost::system::system_error when the port can't be opened.
   void Start();
-  /// Closes the port and every connection, as a killed process would; they are
-  /// closed when it returns.
+  /// Closes the port and all connections, as the end of a killed process does.
+  /// They are closed when it returns.
   void Stop(const boost::asio::yield_context& yield);
 
-  /// Applies what a control call asks; see docs/design/proof.md.
+  /// Applies the faults of a control call; see docs/design/proof.md.
   void Apply(const JsonView& order, const boost::asio::yield_context& yield);
 
-  /// Writes all records as an array; forgets them when `clear` is set.
+  /// Writes the records as items of an array; removes them if `clear` is set.
   void WriteRecords(JsonWriter* writer, bool clear);
   /// Writes the VM list of the fleet.
   void WriteList(JsonWriter* writer) const { list_(writer); }
@@ -54,7 +55,7 @@
  private:
   friend class Connection;
 
-  /// What the next call meets, taken from the faults under the lock.
+  /// Faults of one call.
   struct Plan {
     bool fail_ = false;
     bool reject_ = false;
@@ -71,15 +72,18 @@
 
   void Accept(boost::asio::ip::tcp::acceptor* acceptor,
               const boost::asio::yield_context& yield);
+  /// Returns the faults of the next call and decrements their counts.
   Plan NextPlan();
   size_t AddRecord(RunRecord record);
   void EndRecord(size_t index, size_t to_token, bool answered);
-  /// Whether replies must wait at this token now.
-  bool Held(size_t token);
-  /// Keeps a stream so that it can be resumed by its attempt id.
-  void Remember(const std::string& attempt, const std::string& question);
-  std::optional<std::string> Recall(const std::string& attempt);
-  /// False when the order's fencing number is old and this server checks.
+  /// Whether replies have to wait at this token now.
+  bool IsHeld(size_t token);
+  /// Stores a stream so that it can be resumed by its attempt id.
+  void StoreStream(const std::string& attempt, const std::string& question);
+  /// Returns the question of the stream with that attempt id.
+  std::optional<std::string> FindStream(const std::string& attempt);
+  /// Returns false when this server checks fencing numbers and that of the
+  /// order is lower than an earlier one.
   bool AcceptOrder(int64_t fencing);
   int64_t queued();
   bool listening();
@@ -94,7 +98,7 @@
   std::shared_ptr<boost::asio::ip::tcp::acceptor> acceptor_;
   std::set<std::shared_ptr<Connection>> connections_;
   Faults faults_;
-  std::optional<double> left_at_;
+  std::optional<double> drain_time_;
   bool drain_ = false;
   bool listed_ = true;
   int64_t incarnation_ = 1;
@@ -105,7 +109,7 @@
   std::map<std::string, std::string> streams_;
 };
 
-/// Unix time in seconds.
+/// Returns the Unix time in seconds.
 double Now();
 
 }  // namespace citronlane::fakes
--- a/tests/fakes/faults.h
+++ b/tests/fakes/faults.h
@@ -6,24 +6,30 @@
 
 namespace citronlane::fakes {
 
-/// What a fake does wrong. Counts say how many of the next calls are hit;
-/// the rest holds until it is changed.
+/// Injected faults of a fake server. Members without another description are
+/// the number of next calls that are affected; the others apply until changed.
 struct Faults {
-  /// Answer 500 after running; 503 without running.
+  /// Replies 500 after running the call.
   int64_t fail_ = 0;
+  /// Replies 503 without running the call.
   int64_t reject_ = 0;
-  /// Close after the call was read and run; close without running it.
+  /// Closes the connection after the call was read and run.
   int64_t close_after_read_ = 0;
+  /// Closes the connection without running the call.
   int64_t close_before_run_ = 0;
+  /// Replies under the id of another request's attempt.
   int64_t wrong_id_ = 0;
+  /// Replies with invalid JSON.
   int64_t garbage_ = 0;
+  /// Replies with a body of 64 MiB.
   int64_t oversize_ = 0;
-  /// Cut the stream before the token of `cut_at_`.
+  /// Closes the connection before the stream's token `cut_at_`.
   int64_t cut_stream_ = 0;
   size_t cut_at_ = 0;
+  /// Time before each reply, and between two tokens; applies until changed.
   int64_t slow_ms_ = 0;
   int64_t pace_us_ = 0;
-  /// Replies, or the stream before token `hold_at_`, wait while this is set.
+  /// While set, replies wait, streams before token `hold_at_`.
   bool hold_ = false;
   size_t hold_at_ = 0;
 };
--- a/tests/fakes/fleet.cc
+++ b/tests/fakes/fleet.cc
@@ -78,12 +78,13 @@
       return;
     }
     asio::spawn(*context_, [this, socket](const asio::yield_context& inner) {
-      Talk(socket.get(), inner);
+      ServeConnection(socket.get(), inner);
     });
   }
 }
 
-void Fleet::Talk(tcp::socket* socket, const asio::yield_context& yield) {
+void Fleet::ServeConnection(tcp::socket* socket,
+                            const asio::yield_context& yield) {
   beast::flat_buffer buffer;
   beast::error_code error;
   for (;;) {
@@ -93,8 +94,8 @@
       return;
     }
     const auto [status, body] =
-        Answer({request.target().data(), request.target().size()},
-               request.body(), yield);
+        HandleRequest({request.target().data(), request.target().size()},
+                      request.body(), yield);
     http::response<http::string_body> response(http::int_to_status(status),
                                                request.version());
     response.body() = body;
@@ -107,22 +108,22 @@
   }
 }
 
-Fleet::Reply Fleet::Answer(const std::string& target,
-                           const std::string& body,
-                           const asio::yield_context& yield) {
+Fleet::Reply Fleet::HandleRequest(const std::string& target,
+                                  const std::string& body,
+                                  const asio::yield_context& yield) {
   if (target == "/record" || target == "/clear") {
     return {200, Records(target == "/clear")};
   }
   if (target.rfind(kFaultPath, 0) == 0 &&
-      Fault(target.substr(kFaultPath.size()), body, yield)) {
+      InjectFault(target.substr(kFaultPath.size()), body, yield)) {
     return {200, "{}"};
   }
   return {404, "{}"};
 }
 
-bool Fleet::Fault(const std::string& id,
-                  const std::string& body,
-                  const asio::yield_context& yield) {
+bool Fleet::InjectFault(const std::string& id,
+                        const std::string& body,
+                        const asio::yield_context& yield) {
   Json order;
   order.Parse(body.data(), body.size());
   if (order.HasParseError() || !order.IsObject()) {
--- a/tests/fakes/fleet.h
+++ b/tests/fakes/fleet.h
@@ -15,29 +15,32 @@
 namespace citronlane::fakes {
 
 /// All fake servers of a process and their control port:
-/// POST /fault/<id> tells one what to do wrong, POST /fault/* all of them;
-/// GET /record returns every call, POST /clear returns and forgets them.
-/// Outlives the run of its context.
+/// POST /fault/<id or pool> injects faults into servers, POST /fault/* into all
+/// of them; GET /record returns the records of all calls, POST /clear returns
+/// and removes them. Must outlive the run of its context.
 class Fleet {
  public:
-  /// Starts the servers that the file lists; throws when a port is taken.
+  /// Starts the servers that the file lists. Throws
+  /// boost::system::system_error when a port can't be opened.
   Fleet(boost::asio::io_context* context, const JsonView& file);
 
-  /// One line of JSON: {"control":port,"servers":{"<id>":port}}.
+  /// Returns a line of JSON: {"control":port,"servers":{"<id>":port}}.
   std::string Ports() const;
 
  private:
   using Reply = std::pair<unsigned, std::string>;
 
   void Serve(const boost::asio::yield_context& yield);
-  void Talk(boost::asio::ip::tcp::socket* socket,
-            const boost::asio::yield_context& yield);
-  Reply Answer(const std::string& target,
-               const std::string& body,
-               const boost::asio::yield_context& yield);
-  bool Fault(const std::string& id,
-             const std::string& body,
-             const boost::asio::yield_context& yield);
+  void ServeConnection(boost::asio::ip::tcp::socket* socket,
+                       const boost::asio::yield_context& yield);
+  Reply HandleRequest(const std::string& target,
+                      const std::string& body,
+                      const boost::asio::yield_context& yield);
+  /// Returns false when no server has that id or pool, or the body is not a
+  /// JSON object.
+  bool InjectFault(const std::string& id,
+                   const std::string& body,
+                   const boost::asio::yield_context& yield);
   std::string Records(bool clear);
   void WriteList(JsonWriter* writer);
 
--- a/tests/fakes/json.h
+++ b/tests/fakes/json.h
@@ -15,7 +15,7 @@
 using JsonView = rapidjson::Value;
 using JsonWriter = rapidjson::Writer<rapidjson::StringBuffer>;
 
-/// Read a member, or the fallback when it is not there.
+/// Returns a member of the object, or `fallback` when it is absent.
 std::string StringAt(const JsonView& object,
                      const char* name,
                      std::string_view fallback = "");
--- a/tests/fakes/main.cc
+++ b/tests/fakes/main.cc
@@ -13,8 +13,8 @@
 
 }  // namespace
 
-/// citronlane_fakes FLEET.json [threads]: starts every server of the file,
-/// prints one line of JSON with the ports, and runs until SIGTERM.
+/// citronlane_fakes FLEET.json [threads]: starts the fake servers of the file,
+/// prints a line of JSON with their ports, and runs until SIGTERM.
 int main(int argc, char** argv) {
   if (argc < 2) {
     std::cerr << "usage: citronlane_fakes FLEET.json [threads]\n";
--- a/tests/fakes/run_record.h
+++ b/tests/fakes/run_record.h
@@ -6,26 +6,26 @@
 
 namespace citronlane::fakes {
 
-/// One call that a fake received.
+/// Record of a call that a fake received.
 struct RunRecord {
-  /// Unix seconds when the call had been read.
+  /// Unix time in seconds at which the call was read.
   double time_ = 0;
   std::string attempt_;
-  /// Digest of the caller's text the call was for.
+  /// Digest of the caller's text for which the call was made.
   std::string text_;
   std::string idempotency_key_;
   /// "fresh", "resume", "continue", "order" or "probe".
   std::string mode_ = "fresh";
-  /// Whether the server did the work.
+  /// Whether the server ran the call.
   bool ran_ = false;
   /// Whether the inputs belonged to different requests.
   bool mixed_ = false;
-  /// Seconds since the server began to leave; below 0 when it was not leaving.
-  double left_for_ = -1;
-  /// Engines: token the stream began and ended at.
+  /// Seconds since the server began to drain; below 0 when it was not draining.
+  double draining_for_ = -1;
+  /// Engines: first token of the stream, and the one before which it ended.
   size_t from_token_ = 0;
   size_t to_token_ = 0;
-  /// Whether the reply was written whole.
+  /// Whether the reply was written completely.
   bool answered_ = false;
 };
 
--- a/tests/fakes/server_spec.h
+++ b/tests/fakes/server_spec.h
@@ -7,22 +7,22 @@
 
 namespace citronlane::fakes {
 
-/// One fake server, as the fleet file declares it.
+/// Options of a fake server, from the fleet file.
 struct ServerSpec {
   std::string id_;
   /// "encoder", "retriever", "reranker", "engine", "service" or "platform".
   std::string kind_;
   std::string pool_;
   std::string address_ = "127.0.0.1";
-  /// 0 takes a free port.
+  /// 0 chooses a free port.
   uint16_t port_ = 0;
   bool reports_load_ = false;
-  /// Engines: tokens in an answer, and microseconds between two.
+  /// Engines: number of tokens in a reply, and microseconds between two tokens.
   size_t tokens_ = 0;
   int64_t pace_us_ = 0;
   /// Milliseconds before each reply.
   int64_t slow_ms_ = 0;
-  /// Whether old fencing numbers are refused.
+  /// Whether orders with an old fencing number are refused.
   bool checks_fencing_ = true;
   /// Whether calls are recorded.
   bool record_ = true;
--- a/tests/support/consensus_sim.cc
+++ b/tests/support/consensus_sim.cc
@@ -43,7 +43,7 @@
     AddNode();
     nodes_[id].disk_.snapshot_ = initial;
     nodes_[id].disk_.hard_state_.term_ = 1;
-    Boot(&nodes_[id]);
+    Start(&nodes_[id]);
   }
 }
 
@@ -56,7 +56,7 @@
 }
 
 TimePoint ConsensusSim::ClockOf(const Node& node) const {
-  return TimePoint(Duration(now_us_ * node.rate_ / 1000));
+  return TimePoint(Duration(now_us_ * node.clock_rate_ / 1000));
 }
 
 uint64_t ConsensusSim::AddNode() {
@@ -64,12 +64,12 @@
   Node& node = nodes_[id];
   node.id_ = id;
   node.incarnation_ = next_incarnation_++;
-  node.rate_ = 1000 - kDriftPerMille + Random(2 * kDriftPerMille);
-  Boot(&node);
+  node.clock_rate_ = 1000 - kDriftPerMille + Random(2 * kDriftPerMille);
+  Start(&node);
   return id;
 }
 
-void ConsensusSim::Boot(Node* node) {
+void ConsensusSim::Start(Node* node) {
   const Snapshot& snapshot = node->disk_.snapshot_;
   node->applied_ = snapshot.index_;
   node->state_hash_ = snapshot.data_.empty() ? 0 : std::stoull(snapshot.data_);
@@ -91,7 +91,7 @@
 
 void ConsensusSim::Restart(uint64_t id) {
   if (!IsUp(id)) {
-    Boot(&nodes_.at(id));
+    Start(&nodes_.at(id));
   }
 }
 
@@ -100,11 +100,11 @@
   node.disk_ = Disk{};
   node.disk_lost_ = true;
   node.incarnation_ = next_incarnation_++;
-  Boot(&node);
+  Start(&node);
 }
 
-void ConsensusSim::Part(const std::set<uint64_t>& part) {
-  part_ = part;
+void ConsensusSim::Part(const std::set<uint64_t>& side) {
+  partition_side_ = side;
 }
 
 void ConsensusSim::CutLink(uint64_t a, uint64_t b) {
@@ -112,13 +112,14 @@
 }
 
 bool ConsensusSim::IsCut(const Message& message) const {
-  return part_.count(message.from_) != part_.count(message.to_) ||
+  return partition_side_.count(message.from_) !=
+             partition_side_.count(message.to_) ||
          cut_links_.count({std::min(message.from_, message.to_),
                            std::max(message.from_, message.to_)}) != 0;
 }
 
 void ConsensusSim::Heal() {
-  part_.clear();
+  partition_side_.clear();
   cut_links_.clear();
 }
 
@@ -202,10 +203,10 @@
   for (auto& [id, node] : nodes_) {
     if (node.raft_) {
       node.raft_->Tick(ClockOf(node));
-      CarryOut(&node);
+      ProcessReady(&node);
     }
     if (!node.raft_ && !node.retired_ && Chance(options_.quick_restart_)) {
-      Boot(&node);
+      Start(&node);
     }
   }
   CheckLeaders();
@@ -214,7 +215,7 @@
 void ConsensusSim::Send(const Node& from,
                         const std::vector<Message>& messages) {
   for (const Message& message : messages) {
-    NoteVotes(from, message);
+    CheckVotes(from, message);
     if (nodes_.count(message.to_) == 0 || IsCut(message)) {
       continue;
     }
@@ -232,17 +233,18 @@
     const Message message = std::move(network_.begin()->second);
     network_.erase(network_.begin());
     Node& node = nodes_.at(message.to_);
-    if (!node.raft_ || part_.count(message.from_) != part_.count(message.to_)) {
+    if (!node.raft_ || partition_side_.count(message.from_) !=
+                           partition_side_.count(message.to_)) {
       continue;
     }
     node.raft_->Step(ClockOf(node), message);
     if (Chance(300)) {
-      CarryOut(&node);
+      ProcessReady(&node);
     }
   }
 }
 
-bool ConsensusSim::CrashPoint(Node* node) {
+bool ConsensusSim::MaybeCrash(Node* node) {
   if (!Chance(options_.crash_)) {
     return false;
   }
@@ -250,7 +252,7 @@
   return true;
 }
 
-void ConsensusSim::CarryOut(Node* node) {
+void ConsensusSim::ProcessReady(Node* node) {
   for (int i = 0; i < 8 && node->raft_; ++i) {
     const Ready ready = node->raft_->TakeReady();
     if (ready.IsEmpty()) {
@@ -261,7 +263,7 @@
       return;
     }
     Send(*node, ready.messages_);
-    if (CrashPoint(node)) {
+    if (MaybeCrash(node)) {
       return;
     }
     Apply(node, ready);
@@ -270,30 +272,31 @@
   }
 }
 
-// False when the node crashed; then any prefix of the writes may have stayed.
+// Returns false when the node crashed; any prefix of the writes may then be on
+// its disk.
 bool ConsensusSim::Persist(Node* node, const Ready& ready) {
-  if (CrashPoint(node)) {
+  if (MaybeCrash(node)) {
     return false;
   }
   Disk& disk = node->disk_;
   if (ready.snapshot_) {
     disk.snapshot_ = *ready.snapshot_;
     disk.entries_.clear();
-    if (CrashPoint(node)) {
+    if (MaybeCrash(node)) {
       return false;
     }
   }
   if (ready.hard_state_) {
     disk.hard_state_ = *ready.hard_state_;
   }
-  if (!ready.entries_.empty() && CrashPoint(node)) {
-    std::vector<Entry> part = ready.entries_;
-    part.resize(Random(part.size() + 1));
-    StoreEntries(node, part);
+  if (!ready.entries_.empty() && MaybeCrash(node)) {
+    std::vector<Entry> prefix = ready.entries_;
+    prefix.resize(Random(prefix.size() + 1));
+    StoreEntries(node, prefix);
     return false;
   }
   StoreEntries(node, ready.entries_);
-  return !CrashPoint(node);
+  return !MaybeCrash(node);
 }
 
 void ConsensusSim::StoreEntries(Node* node, const std::vector<Entry>& entries) {
@@ -301,7 +304,7 @@
   for (const Entry& entry : entries) {
     const uint64_t kept = entry.index_ - disk.snapshot_.index_ - 1;
     if (kept > disk.entries_.size()) {
-      Fault("gap in the log of node " + std::to_string(node->id_));
+      AddFault("gap in the log of node " + std::to_string(node->id_));
       return;
     }
     disk.entries_.resize(kept);
@@ -325,7 +328,7 @@
       disk.entries_.begin() +
           static_cast<ptrdiff_t>(snapshot.index_ - disk.snapshot_.index_));
   disk.snapshot_ = snapshot;
-  if (!CrashPoint(node)) {
+  if (!MaybeCrash(node)) {
     node->raft_->Compact(std::move(snapshot));
   }
 }
--- a/tests/support/consensus_sim_checks.cc
+++ b/tests/support/consensus_sim_checks.cc
@@ -20,7 +20,7 @@
     ++installed_snapshots_;
     if (node->applied_ >= committed_.size() ||
         committed_[node->applied_].state_hash_ != node->state_hash_) {
-      Fault("snapshot differs at " + std::to_string(node->applied_));
+      AddFault("snapshot differs at " + std::to_string(node->applied_));
     }
   }
   for (const Entry& entry : ready.committed_) {
@@ -29,15 +29,15 @@
   for (const auto& [context, index] : ready.confirmed_reads_) {
     ++confirmed_reads_;
     if (index < read_floor_[context] || index > node->applied_) {
-      Fault("stale read " + std::to_string(context) + " at node " +
-            std::to_string(node->id_));
+      AddFault("stale read " + std::to_string(context) + " at node " +
+               std::to_string(node->id_));
     }
   }
 }
 
 void ConsensusSim::ApplyEntry(Node* node, const Entry& entry) {
   if (entry.index_ != node->applied_ + 1) {
-    Fault("applied out of order at node " + std::to_string(node->id_));
+    AddFault("applied out of order at node " + std::to_string(node->id_));
   }
   node->applied_ = entry.index_;
   node->state_hash_ = Mix(node->state_hash_, entry.index_, entry.payload_);
@@ -47,8 +47,8 @@
   const Committed& known = committed_[entry.index_];
   if (known.term_ != entry.term_ || known.payload_ != entry.payload_ ||
       known.state_hash_ != node->state_hash_) {
-    Fault("committed entry " + std::to_string(entry.index_) +
-          " changed at node " + std::to_string(node->id_));
+    AddFault("committed entry " + std::to_string(entry.index_) +
+             " changed at node " + std::to_string(node->id_));
   }
   if (entry.kind_ == EntryKind::kMembership &&
       entry.index_ > membership_index_) {
@@ -58,7 +58,7 @@
   }
 }
 
-void ConsensusSim::NoteVotes(const Node& from, const Message& message) {
+void ConsensusSim::CheckVotes(const Node& from, const Message& message) {
   uint64_t candidate = 0;
   if (message.kind_ == MessageKind::kVote) {
     candidate = from.id_;
@@ -70,8 +70,8 @@
   const auto [it, first] =
       votes_.emplace(std::make_pair(from.id_, message.term_), candidate);
   if (!first && it->second != candidate) {
-    Fault("node " + std::to_string(from.id_) + " voted twice in term " +
-          std::to_string(message.term_));
+    AddFault("node " + std::to_string(from.id_) + " voted twice in term " +
+             std::to_string(message.term_));
   }
 }
 
@@ -85,7 +85,7 @@
     leases += HasLease(id) ? 1 : 0;
     const auto [it, first] = leader_of_term_.emplace(node.raft_->term(), id);
     if (it->second != id) {
-      Fault("two leaders in term " + std::to_string(node.raft_->term()));
+      AddFault("two leaders in term " + std::to_string(node.raft_->term()));
     }
     if (node.role_ == Role::kLeader) {
       continue;
@@ -96,12 +96,12 @@
                        node.disk_.snapshot_.index_ >= last;
     if (first && last > 1 && committed_[last].term_ < node.raft_->term() &&
         !holds) {
-      Fault("leader " + std::to_string(id) + " lacks committed entry " +
-            std::to_string(last));
+      AddFault("leader " + std::to_string(id) + " lacks committed entry " +
+               std::to_string(last));
     }
   }
   if (leases > 1) {
-    Fault("two leaders hold a lease");
+    AddFault("two leaders hold a lease");
   }
 }
 
@@ -114,14 +114,14 @@
       const auto [it, first] =
           by_position[entry.index_].emplace(entry.term_, value);
       if (!first && it->second != value) {
-        Fault("logs differ at " + std::to_string(entry.index_));
+        AddFault("logs differ at " + std::to_string(entry.index_));
       }
       previous = entry.term_;
     }
   }
 }
 
-void ConsensusSim::Fault(const std::string& line) {
+void ConsensusSim::AddFault(const std::string& line) {
   if (faults_.size() < 8) {
     faults_.push_back("at " + std::to_string(now_us_) + " us: " + line);
   }
--- a/tests/support/eventually.h
+++ b/tests/support/eventually.h
@@ -5,8 +5,8 @@
 
 namespace citronlane {
 
-/// Waits for a condition that other threads bring about, for as long as a
-/// loaded machine may need. Returns whether it came true.
+/// Polls a condition that other threads make true, with a timeout long enough
+/// for a loaded machine. Returns whether it became true.
 bool Eventually(const std::function<bool()>& condition);
 
 }  // namespace citronlane
--- a/tests/support/free_endpoint.cc
+++ b/tests/support/free_endpoint.cc
@@ -8,8 +8,8 @@
 namespace citronlane {
 namespace {
 
-// One a process: connections and tests beside it, which use 127.0.0.1, could
-// take the port before it is listened on.
+// A loopback address for each process: on 127.0.0.1, an outgoing connection or
+// another test could take the port before the caller listens on it.
 boost::asio::ip::address_v4 OwnLoopback() {
   constexpr uint32_t kNetwork = 127U << 24U;
   constexpr uint32_t kFirst = 1U << 16U;
--- a/tests/support/free_endpoint.h
+++ b/tests/support/free_endpoint.h
@@ -9,8 +9,8 @@
 
 namespace citronlane {
 
-/// Returns a loopback address, "IP:PORT", that nobody listens on. Uses
-/// `io` only during the call, on the thread that may use it.
+/// Returns a loopback address, "IP:PORT", without a listener. Uses `io` only
+/// during the call; to be called on the thread that runs it.
 std::string FreeEndpoint(boost::asio::io_context* io);
 
 }  // namespace citronlane
--- a/tests/support/memory_disk.cc
+++ b/tests/support/memory_disk.cc
@@ -13,11 +13,11 @@
 bool MemoryDisk::Fails(Error* error) {
   ++calls_;
   const bool hit = calls_ == fail_at_;
-  dead_ = dead_ || (hit && failure_ == Failure::kPowerCut);
-  if (hit || dead_) {
+  is_power_cut_ = is_power_cut_ || (hit && failure_ == Failure::kPowerCut);
+  if (hit || is_power_cut_) {
     error->message_ = "injected failure";
   }
-  return hit || dead_;
+  return hit || is_power_cut_;
 }
 
 std::optional<int> MemoryDisk::Create(const std::string& path, Error* error) {
@@ -142,7 +142,8 @@
     const size_t synced = file->synced_.size();
     if (file->data_.size() > synced &&
         file->data_.compare(0, synced, file->synced_) == 0) {
-      // Some of the unsynced bytes got there, perhaps with a hole among them.
+      // A prefix of the unsynced bytes was stored, possibly with a wrong byte
+      // in it.
       file->data_.resize(synced + random(file->data_.size() - synced + 1));
       const size_t unsynced = file->data_.size() - synced;
       if (unsynced > 0 && random(2) == 0) {
@@ -154,7 +155,7 @@
     }
     file->synced_ = file->data_;
   }
-  dead_ = false;
+  is_power_cut_ = false;
   fail_at_ = 0;
 }
 
--- a/tests/support/memory_disk.h
+++ b/tests/support/memory_disk.h
@@ -12,30 +12,31 @@
 
 namespace citronlane {
 
-/// A disk in memory that keeps only what was synced. Power can be cut, and any
-/// call made to fail, at a counted call. Not thread safe.
+/// A disk in memory that keeps only synced data when power is cut. Any call of
+/// its hooks can be made to fail, chosen by its number. Not thread safe.
 class MemoryDisk {
  public:
   enum class Failure {
-    /// The call and all after it fail; a write may have got part of its bytes.
+    /// The call and all later ones fail until CutPower; a write may have stored
+    /// a prefix of its data.
     kPowerCut,
-    /// Only that call fails.
+    /// Only the call itself fails.
     kError,
   };
 
-  /// Hooks that work on this disk, which outlives them.
+  /// Returns hooks that use this disk, which must outlive them.
   FileSystem Files();
 
-  /// Makes the call number `call`, counted from 1 from now on, fail.
+  /// Makes the call number `call` fail, counted from 1 from now on.
   void FailAt(uint64_t call, Failure failure);
-  /// Calls since the last FailAt or since the beginning.
+  /// Number of calls since the last FailAt, or since construction.
   uint64_t calls() const { return calls_; }
 
-  /// Loses what was not synced, but for a random part; `random` returns a
-  /// number below its argument. Faults end.
+  /// Loses unsynced data except for a random part of it and ends failures.
+  /// `random` must return a number below its argument.
   void CutPower(const std::function<uint64_t(uint64_t)>& random);
 
-  /// Names of the files in no particular folder, sorted.
+  /// Paths of all files, sorted.
   std::vector<std::string> Paths() const;
   std::string& Content(const std::string& path);
   void Remove(const std::string& path);
@@ -43,7 +44,7 @@
  private:
   struct File {
     std::string data_;
-    /// What would survive.
+    /// Content that would survive a power loss.
     std::string synced_;
   };
   using Folder = std::map<std::string, std::shared_ptr<File>>;
@@ -56,15 +57,15 @@
                                                Error* error);
 
   Folder folder_;
-  /// Each change of the folder since it was synced: the state after it.
   Folder synced_folder_;
+  /// State of the folder after each change since it was synced.
   std::vector<Folder> unsynced_folders_;
   std::map<int, std::shared_ptr<File>> handles_;
   int next_handle_ = 1;
   uint64_t calls_ = 0;
   uint64_t fail_at_ = 0;
   Failure failure_ = Failure::kError;
-  bool dead_ = false;
+  bool is_power_cut_ = false;
 };
 
 }  // namespace citronlane
--- a/tests/support/press_config.h
+++ b/tests/support/press_config.h
@@ -9,7 +9,8 @@
 
 namespace citronlane {
 
-/// A stage pool of short calls with room for 1,000 bytes a server.
+/// Returns a stage pool with short calls and servers that store 1,000 bytes of
+/// results.
 inline StagePoolSpec PressSpec(uint32_t batch = StagePoolSpec().batch_) {
   StagePoolSpec spec;
   spec.batch_ = batch;
@@ -19,8 +20,8 @@
   return spec;
 }
 
-/// Streamed requests to host "h" that need one stage of the service "press" and
-/// then a server of "engine".
+/// Returns a configuration whose only route, for host "h", is streamed and has
+/// one stage of the service "press" before a call to the service "engine".
 inline ServingConfig::Parts PressConfig() {
   ServingConfig::Parts parts;
   parts.version_ = 1;
--- a/tests/support/raw_call.h
+++ b/tests/support/raw_call.h
@@ -6,8 +6,8 @@
 
 namespace citronlane {
 
-/// Sends bytes to the port of 127.0.0.1 and returns all that comes back until
-/// the close. Thread safe.
+/// Sends bytes to a port of 127.0.0.1 and returns everything received until the
+/// peer closes the connection. Thread safe.
 std::string Raw(uint16_t port, const std::string& text);
 
 }  // namespace citronlane
--- a/tests/support/recorded_caller.h
+++ b/tests/support/recorded_caller.h
@@ -13,14 +13,15 @@
 
 namespace citronlane {
 
-/// A caller whose handler runs the event loop while it waits, and what it got.
+/// A caller's HTTP exchange that records the response. The handler runs the
+/// event loop while it waits. Not thread safe.
 class RecordedCaller : public HttpExchange {
  public:
   explicit RecordedCaller(boost::asio::io_context* io) : io_(io) {}
 
   bool Reply(const HttpReply& reply) override {
     reply_ = reply;
-    is_whole_ = true;
+    is_complete_ = true;
     ++replies_;
     return true;
   }
@@ -34,7 +35,7 @@
     return true;
   }
   bool EndStream() override {
-    is_whole_ = true;
+    is_complete_ = true;
     return true;
   }
   void Abort() override {}
@@ -42,7 +43,7 @@
     while (!notified_) {
       io_->restart();
       if (io_->run_one() != 1) {
-        throw std::logic_error("the handler waits for nothing");
+        throw std::logic_error("the handler waits, but no operation is left");
       }
     }
     notified_ = false;
@@ -55,10 +56,11 @@
     Notify();
   }
 
-  /// A stream's head and body, or the whole reply.
+  /// The response, or the part of a stream received so far.
   std::optional<HttpReply> reply_;
-  bool is_whole_ = false;
-  /// A caller takes a second one for the answer to its next request.
+  bool is_complete_ = false;
+  /// Number of responses. Must not exceed 1: a caller would take a second one
+  /// for the response to its next request.
   int replies_ = 0;
 
  private:
--- a/tests/support/relay_gateway.h
+++ b/tests/support/relay_gateway.h
@@ -32,11 +32,12 @@
 
 namespace citronlane {
 
-/// One gateway without other processes: it serves requests on its event loop
-/// and runs the stage pools of its configuration itself. Not thread safe.
+/// A gateway without control VMs or other gateways: serves requests on the
+/// event loop and is the owner of all stage pools of its configuration. Not
+/// thread safe.
 class RelayGateway {
  public:
-  /// Requests go to servers of `service`. `io` outlives the gateway.
+  /// The router is for `service`. `io` must outlive the gateway.
   RelayGateway(boost::asio::io_context* io,
                ServingConfig::Parts parts,
                const std::string& service,
@@ -45,10 +46,10 @@
         router_(service, false, std::chrono::seconds(1), "a", [](uint64_t) {
           return uint64_t{0};
         }) {
-    for (const Service& one : parts.services_) {
-      if (one.stage_pool_) {
-        pools_[one.name_] =
-            std::make_unique<StagePool>(one.name_, *one.stage_pool_, Budget(),
+    for (const Service& each : parts.services_) {
+      if (each.stage_pool_) {
+        pools_[each.name_] =
+            std::make_unique<StagePool>(each.name_, *each.stage_pool_, Budget(),
                                         &view_, &dialect_, &client_, &log_);
       }
     }
@@ -69,7 +70,8 @@
     context_.random_ = [](uint64_t) { return uint64_t{0}; };
   }
 
-  /// Serves a GET of "/x" at host "h" with these headers besides.
+  /// Serves a GET of "/x" for host "h" with the given headers added. Returns
+  /// the caller with the response.
   RecordedCaller Ask(
       const std::string& id,
       std::vector<HttpHeader> headers = {},
--- a/tests/support/route_document.h
+++ b/tests/support/route_document.h
@@ -8,8 +8,8 @@
 
 namespace citronlane {
 
-/// A configuration with names that repeat nowhere else. Versions with the same
-/// number of routes differ in their number only.
+/// Returns a configuration document with random names that do not repeat.
+/// Documents with the same number of routes differ only in their version.
 inline std::string RouteDocument(uint64_t version, size_t routes) {
   std::minstd_rand random(1);
   std::string document =
--- a/tests/support/scripted_server.h
+++ b/tests/support/scripted_server.h
@@ -17,8 +17,9 @@
 
 namespace citronlane {
 
-/// A server that answers call after call from a script. An empty answer
-/// closes the connection after reading; "!" closes it after the answer before.
+/// An HTTP server that sends the responses of a script, one for each request.
+/// An empty response closes the connection instead; "!" closes it after the
+/// previous response. Requests must have no body.
 class ScriptedServer {
  public:
   explicit ScriptedServer(std::vector<std::string> script)
@@ -48,9 +49,9 @@
       }
       text.erase(0, got);
       ++reads_;
-      const std::string answer = Next();
-      boost::asio::write(*socket, boost::asio::buffer(answer), error);
-      open = !answer.empty() && !TakeClose();
+      const std::string response = Next();
+      boost::asio::write(*socket, boost::asio::buffer(response), error);
+      open = !response.empty() && !ConsumeClose();
     }
     socket->shutdown(boost::asio::ip::tcp::socket::shutdown_both, error);
     ++closed_;
@@ -60,7 +61,7 @@
     const std::lock_guard lock(mutex_);
     return next_ < script_.size() ? script_[next_++] : "";
   }
-  bool TakeClose() {
+  bool ConsumeClose() {
     const std::lock_guard lock(mutex_);
     const bool close = next_ < script_.size() && script_[next_] == "!";
     next_ += close ? 1 : 0;
@@ -72,7 +73,8 @@
   size_t next_ = 0;
   std::atomic<int> reads_{0};
   std::atomic<int> closed_{0};
-  // Last, so that its threads end before what they use.
+  // Declared last, so that its threads end before the members that they use are
+  // destroyed.
   ThreadedListener listener_;
 };
 
--- a/tests/support/storage_samples.h
+++ b/tests/support/storage_samples.h
@@ -14,14 +14,14 @@
 inline constexpr uint64_t kNode = 3;
 inline constexpr uint64_t kSegmentBytes = 600;
 
-/// Storage in the folder "data" of a disk in memory.
+/// Returns a storage in the folder "data" of the disk.
 std::unique_ptr<ReplicaStorage> MakeStorage(MemoryDisk* disk,
                                             uint64_t incarnation = 77);
 
-/// A snapshot with one voter, kNode.
+/// Returns a snapshot with one voter, kNode, and the data "state <index>".
 Snapshot SnapshotAt(uint64_t index, uint64_t term);
 
-/// Commands "entry <index>".
+/// Returns entries with consecutive indexes and the commands "entry <index>".
 std::vector<Entry> Entries(uint64_t first, uint64_t count, uint64_t term);
 
 }  // namespace citronlane
--- a/tests/support/test_certificates.cc
+++ b/tests/support/test_certificates.cc
@@ -26,7 +26,7 @@
   X509_EXTENSION_free(extension);
 }
 
-// Signed by itself when `issuer` is null.
+// The certificate is self-signed when `issuer` is null.
 Certificate MakeCertificate(const char* name,
                             EVP_PKEY* key,
                             X509* issuer,
--- a/tests/support/test_certificates.h
+++ b/tests/support/test_certificates.h
@@ -8,8 +8,9 @@
 
 namespace citronlane {
 
-/// Writes a new CA and a certificate for 127.0.0.1 signed by it into `folder`,
-/// as PEM files that begin with `name`. The key is readable by its owner alone.
+/// Creates a CA and a certificate for 127.0.0.1 signed by it, and writes them
+/// into `folder` as PEM files whose names begin with `name`. Only the owner may
+/// read the key file.
 TlsFiles WriteTestCertificates(const std::filesystem::path& folder,
                                const std::string& name);
 
--- a/tests/support/threaded_listener.h
+++ b/tests/support/threaded_listener.h
@@ -14,14 +14,15 @@
 
 namespace citronlane {
 
-/// Serves each connection to a port of 127.0.0.1 on a thread of its own.
+/// Listens on a port of 127.0.0.1 and serves each connection on its own thread.
 class ThreadedListener {
  public:
-  /// Called on the connection's thread; returns when the peer is gone.
+  /// Called on the connection's thread; must return when the peer has closed
+  /// the connection.
   using Serve = std::function<void(boost::asio::ip::tcp::socket* socket)>;
 
   explicit ThreadedListener(Serve serve);
-  /// Ends all connections and waits for their threads.
+  /// Closes all connections and joins their threads.
   ~ThreadedListener();
   ThreadedListener(const ThreadedListener&) = delete;
   ThreadedListener& operator=(const ThreadedListener&) = delete;
