--- a/tests/checker/checker.py
+++ b/tests/checker/checker.py
@@ -1,5 +1,5 @@
-"""Joins the records of callers, gateways and fakes after a run and counts each
-broken invariant. Pure: records in, faults out."""
+"""Compares the records of callers, gateways and fakes after a run and returns
+the violations of each invariant. All functions are pure."""
 
 import collections
 import dataclasses
@@ -24,25 +24,25 @@
 
 @dataclasses.dataclass
 class Call:
-    """One request as its caller saw it."""
+    """A request and its result, as recorded by the caller."""
     text: str
-    # Answer that is whole and the caller's own.
+    # The complete answer to this request.
     expected: str = ""
-    # Pool that may run this text at most once; None when it may repeat.
+    # Pool that may run this text at most once; None when it may run repeatedly.
     once_pool: Optional[str] = None
     status: Optional[int] = None
     answer: str = ""
-    # A stream: whether it ended with [DONE], or with an error event.
+    # Whether the answer ended properly; a stream ends with [DONE].
     finished: bool = False
-    # Problem of a refusal or of an error event.
+    # From the problem document of a refusal or an error event.
     reason: Optional[str] = None
     verdict: Optional[str] = None
     refusal_id: Optional[str] = None
-    # Id under which the gateway ran it: the first part of attempt ids.
+    # Id given by the gateway; the prefix of the ids of its attempts.
     request_id: Optional[str] = None
     config_version: int = 0
     cost_by_stage: dict = dataclasses.field(default_factory=dict)
-    # The process that served it was killed by the test.
+    # Whether the test killed the gateway that served the request.
     server_killed: bool = False
     sent: float = 0.0
     ended: float = 0.0
@@ -54,14 +54,15 @@
 
 @dataclasses.dataclass
 class Seen:
-    """Configuration version that a process reported at a time."""
+    """Configuration version that a process reported, with the time."""
     process: str
     time: float
     version: int
 
 
 def check(calls, runs, versions=(), leaving_bound=3.0):
-    """Returns {kind: [what broke, ...]} with an entry for every kind."""
+    """Returns {kind: [violation, ...]} with an entry for every kind. A backend
+    server may start work until `leaving_bound` seconds after it drains."""
     faults = {kind: [] for kind in KINDS}
     by_text = collections.defaultdict(list)
     for run in runs:
@@ -99,7 +100,8 @@
             kind = LOST
         faults[kind].append(f"{call.text!r}: {call.answer!r}")
     elif call.finished or not (call.reason or call.server_killed):
-        # A part with a clean end, or a cut without an explicit error.
+        # An incomplete answer that ended properly, or broke off without an
+        # explicit error.
         faults[LOST].append(f"{call.text!r}: {len(call.answer)} of "
                             f"{len(call.expected)} bytes, no error")
 
@@ -119,8 +121,8 @@
             f"{call.text!r}: {call.status} {call.reason} {call.verdict}")
     if call.verdict != NOT_RUN:
         return
-    # Without a request id, a run counts against the refusal unless another
-    # arrival of the same text may have caused it.
+    # Without a request id, a run contradicts the refusal only if no other
+    # request with the same text can have caused it.
     twins = sum(other.text == call.text for other in calls)
     for run in by_text[content.text_digest(call.text)]:
         own = (run["attempt"].split("/")[0] == call.request_id
@@ -157,6 +159,6 @@
 
 
 def report(faults):
-    """One line a broken invariant."""
+    """Returns a line for each violation."""
     return "\n".join(f"{kind}: {what}" for kind in KINDS
                      for what in faults[kind])
--- a/tests/checker/checker_test.py
+++ b/tests/checker/checker_test.py
@@ -1,4 +1,4 @@
-"""Plants a fault of each kind and sees that the checker counts just it."""
+"""Tests that the checker finds each kind of violation, and only that one."""
 
 import unittest
 
--- a/tests/checker/content.py
+++ b/tests/checker/content.py
@@ -1,4 +1,4 @@
-"""What the fakes answer to a text; the twin of tests/fakes/content.cc."""
+"""Expected replies of the fakes; must match tests/fakes/content.cc."""
 
 import hashlib
 
@@ -9,12 +9,12 @@
 
 
 def text_digest(text):
-    """Digest by which a fake's record names the caller's text."""
+    """Returns the digest that identifies the text in the fakes' records."""
     return digest(text, "text", 0)
 
 
 def answer(text, tokens):
-    """Whole answer of an engine that generates so many tokens."""
+    """Returns the complete reply of an engine with that number of tokens."""
     return "".join(digest(text, "token", i) + " " for i in range(tokens))
 
 
--- a/tests/process/bad_input_test.py
+++ b/tests/process/bad_input_test.py
@@ -1,4 +1,4 @@
-"""Malformed input is refused, counted, and runs nothing."""
+"""Tests that malformed input is refused and counted and runs nothing."""
 
 import json
 import random
@@ -23,7 +23,7 @@
     return f"{CHAT}{headers}Content-Length: {len(data)}\r\n\r\n{data}"
 
 
-# Name, bytes sent, whether a status is owed, allowed status.
+# Name, bytes sent, status of the response if there is one.
 CASES = [
     ("malformed JSON", with_body('{"model": '), 400),
     ("no object", with_body("[1]"), 400),
@@ -89,7 +89,7 @@
             data = bytearray(whole)
             for _ in range(source.randrange(1, 9)):
                 data[source.randrange(len(data))] = source.randrange(256)
-            # The end that a changed length may still be waiting for.
+            # Completes the header, for which a gateway may still wait.
             background.start(self.send, bytes(data) + b"\r\n\r\n" * 200)
         self.assertEqual([s for s in background.join() if s == 200], [])
         self.assert_unharmed()
--- a/tests/process/caller.py
+++ b/tests/process/caller.py
@@ -1,4 +1,4 @@
-"""HTTP towards gateways, fakes and operators' addresses."""
+"""HTTP clients for gateways, fakes and the administration API."""
 
 import http.client
 import json
@@ -32,7 +32,7 @@
 
 
 def answers(port, path, status=200):
-    """Whether the path answers with the status now."""
+    """Returns whether a GET of the path gets that status now."""
     try:
         return exchange(port, "GET", path, seconds=2.0)[0] == status
     except OSError:
@@ -40,14 +40,14 @@
 
 
 def take_problem(call, problem):
-    """Fills the call from a problem document."""
+    """Sets the refusal of the call from a problem document."""
     call.reason = problem.get("reason_name")
     call.verdict = problem.get("verdict")
     call.refusal_id = problem.get("refusal_id")
 
 
 class Caller:
-    """A client account's way to one gateway."""
+    """Sends requests of one client account to one gateway."""
 
     def __init__(self, port, key):
         self.port = port
@@ -55,7 +55,7 @@
 
     def chat(self, pipeline, text, tokens, stream=False, once_pool=None,
              idempotency_key=None, class_name=None, on_token=None):
-        """Sends one request; returns its Call, whatever became of it."""
+        """Sends a request; returns its Call, also when it failed."""
         call = Call(text=text, expected=content.answer(text, tokens),
                     once_pool=once_pool, sent=time.time())
         headers = {"Authorization": "Bearer " + self.key,
@@ -84,7 +84,7 @@
                 call.answer = choice["message"]["content"]
                 call.finished = choice["finish_reason"] in ("stop", "length")
         except (OSError, http.client.HTTPException, ValueError):
-            pass  # What was read so far says what the caller got.
+            pass  # The call has what was read so far.
         finally:
             connection.close()
         call.ended = time.time()
@@ -92,7 +92,7 @@
 
     def service(self, method, path, body, once_pool=None,
                 idempotency_key=None):
-        """Calls a plain service; the answer is checked by its digest."""
+        """Calls a plain service, whose response contains a digest."""
         call = Call(text=body, expected=content.service_digest(body),
                     once_pool=once_pool, sent=time.time())
         headers = {"Authorization": "Bearer " + self.key}
@@ -144,7 +144,7 @@
 
 
 class Background:
-    """Runs calls on threads of their own and collects what they return."""
+    """Runs calls on threads of their own and collects their results."""
 
     def __init__(self):
         self.calls = []
--- a/tests/process/cluster.py
+++ b/tests/process/cluster.py
@@ -1,4 +1,4 @@
-"""A whole system on loopback: fakes, control VMs and gateways."""
+"""A complete system on loopback: fakes, control VMs and gateways."""
 
 import hashlib
 import http.client
@@ -19,7 +19,8 @@
 
 
 class Cluster:
-    """Owns its processes and its folder; ends and removes them at exit."""
+    """Owns the processes, which it ends at exit, and a folder, which it removes
+    then."""
 
     def __init__(self, fleet, controls=3, gateways=3, threads=1,
                  gateway_settings=None, control_settings=None):
@@ -52,7 +53,7 @@
         self.close()
 
     def close(self):
-        """Ends every process by its id; returns {name: exit code}."""
+        """Ends all processes; returns {name: exit code}."""
         codes = processes.end(self.gateways)
         codes.update(processes.end(self.controls))
         codes.update(processes.end([self.fakes] if self.fakes else []))
@@ -77,13 +78,13 @@
         self.fake_ports = json.loads(self.fakes.child.stdout.readline())
 
     def fault(self, server, **order):
-        """Tells a server, a whole pool, or "*" what to do wrong."""
+        """Injects faults into a server, a whole pool, or "*" for all."""
         status, _, _ = caller.exchange(self.fake_ports["control"], "POST",
                                        "/fault/" + server, order)
         assert status == 200, server
 
     def runs(self):
-        """Records of every call that a fake received, in order of time."""
+        """Returns the records of all calls to the fakes, in order of time."""
         return sorted(caller.get_json(self.fake_ports["control"], "/record"),
                       key=lambda run: run["time"])
 
@@ -116,7 +117,7 @@
         return self.controls[-1]
 
     def add_control(self, node):
-        """Starts a new control VM that is to join the running cluster."""
+        """Starts a new control VM that can be added to the running cluster."""
         name = "control-" + node
         self._take_control_ports(name)
         names = [control.name for control in self.controls] + [name]
@@ -138,14 +139,14 @@
             **self.control_settings}}
 
     def restart(self, process):
-        """Starts a process again that was killed."""
+        """Starts a killed process again."""
         process.start()
 
     def wait_control(self):
         wait_until(self.leader, "a control VM leads")
 
     def leader(self):
-        """Returns the control process that leads, or None."""
+        """Returns the control process that is the leader, or None."""
         for process in self.controls:
             assert process.running(), process.log()[-2000:]
             status, body = self.admin("GET", "/v1/status", ports=[
@@ -161,7 +162,7 @@
         if not ports:
             ports = [self.ports[control.name]["admin"]
                      for control in self.controls]
-            # The one that answered last leads, most likely.
+            # The VM that replied last is most likely the leader.
             ports.sort(key=lambda port: port != self.admin_port)
         status, reply = None, b""
         while ports:
@@ -183,13 +184,13 @@
             return status, {}
 
     def change(self, patch, change_id, base):
-        """Sends one change by the API; returns (status, answer)."""
+        """Sends one change by the API; returns (status, response)."""
         return self.admin("POST", "/v1/config/changes", {
             "change_id": change_id, "base_version": base, "patch": patch,
             "reason": "test"})
 
     def config_version(self):
-        """Version that control names, or None when it can not answer."""
+        """Returns the current version, or None when control can't tell."""
         status, answer = self.admin("GET", "/v1/config")
         return int(answer["version"]) if status == 200 else None
 
@@ -245,14 +246,15 @@
         return caller.answers(self.ports[gateway.name]["callers"], "/readyz")
 
     def seen_version(self, gateway):
-        """Version under which the gateway takes work now, or 0 for none."""
+        """Returns the version that the gateway uses for new requests, or 0 when
+        it accepts none."""
         try:
             status, head, _ = caller.exchange(
                 self.ports[gateway.name]["callers"], "GET", "/none",
                 seconds=2.0)
         except (OSError, http.client.HTTPException):
             return 0
-        # A gateway that can not confirm its version refuses all work by 503.
+        # A gateway that can't confirm its version refuses all work with 503.
         return 0 if status == 503 else int(head.get("X-Config-Version", 0))
 
     def wait_version(self, version, seconds=processes.WAIT_SECONDS):
@@ -261,7 +263,7 @@
                        f"version {version} at {gateway.name}", seconds)
 
     def caller(self, index=0, account="buyers"):
-        """An account's way to the gateway of that index."""
+        """Returns a client of an account for the gateway of that index."""
         name = self.gateways[index].name
         return caller.Caller(self.ports[name]["callers"],
                              deployments.key_of(account))
--- a/tests/process/cluster_test_case.py
+++ b/tests/process/cluster_test_case.py
@@ -1,4 +1,4 @@
-"""Base of the tests that run whole processes."""
+"""Base class of the tests that run a cluster of processes."""
 
 import json
 import os
@@ -46,7 +46,7 @@
         return result
 
     def setUp(self):
-        # A server that was leaving comes back as a new incarnation only.
+        # A draining server becomes usable again only as a new incarnation.
         ClusterTestCase.incarnation += 1
         self.cluster.fault("*", reset=True, start=True, leave="no",
                            incarnation=ClusterTestCase.incarnation)
@@ -62,32 +62,32 @@
             idempotency_key=key, **options)
 
     def ask_at_once(self, count, prefix, **options):
-        """Sends so many requests together; returns their calls."""
+        """Sends `count` requests concurrently; returns their calls."""
         background = caller.Background()
         for i in range(count):
             background.start(self.ask, f"{prefix} {i}", **options)
         return background.join()
 
     def runs(self, pool=None, text=None):
-        """Calls that did work, of one pool and text."""
+        """Returns the calls that ran, of one pool and text if given."""
         digest = text and content.text_digest(text)
         return [run for run in self.cluster.runs() if run["ran"] and
                 pool in (None, run["pool"]) and digest in (None, run["text"])]
 
     def assert_clean(self, calls, versions=()):
-        """No invariant is broken."""
+        """Asserts that no invariant is violated."""
         faults = checker.check(calls, self.cluster.runs(), versions)
         self.assertEqual(checker.total(faults), 0, checker.report(faults))
 
     def assert_whole(self, calls):
-        """Every answer is whole, and no invariant is broken."""
+        """Asserts that every answer is complete and no invariant violated."""
         bad = [(c.text, c.status, c.reason, c.verdict, c.answer)
                for c in calls if not c.whole]
         self.assertEqual(bad, [])
         self.assert_clean(calls)
 
     def figure(self, **figures):
-        """Notes what was measured, for scripts/prove.sh."""
+        """Records measured figures for scripts/prove.sh."""
         if FIGURES:
             with open(FIGURES, "a", encoding="utf-8") as file:
                 file.write(json.dumps({"test": self.id(), **figures}) + "\n")
--- a/tests/process/control_test.py
+++ b/tests/process/control_test.py
@@ -1,4 +1,5 @@
-"""The configuration: in force everywhere, decided once, never reverted."""
+"""Tests that a configuration change comes into force on all gateways, is
+decided once and is never reverted."""
 
 import threading
 import time
@@ -9,7 +10,7 @@
 from process.cluster_test_case import ClusterTestCase
 from process.processes import wait_until
 
-# The brief's "within seconds"; letter 1 names four.
+# Required time from a change until it is in force on all gateways.
 IN_FORCE_SECONDS = 4.0
 MANY_CHANGES = 300
 
@@ -19,12 +20,13 @@
 
 
 class Load:
-    """Streams requests and watches versions until it is stopped."""
+    """Sends streamed requests and records configuration versions until it is
+    stopped."""
 
     def __init__(self, test):
         self.test = test
         self.calls, self.versions = [], []
-        self.going = True
+        self.running = True
         self.threads = [threading.Thread(target=self.run, args=(index,))
                         for index in range(len(test.cluster.gateways))]
 
@@ -34,13 +36,13 @@
         return self
 
     def __exit__(self, *_):
-        self.going = False
+        self.running = False
         for thread in self.threads:
             thread.join()
 
     def run(self, index):
         gateway = self.test.cluster.gateways[index]
-        while self.going:
+        while self.running:
             self.calls.append(self.test.ask(
                 f"load {index} {len(self.calls)} {time.time()}", index,
                 stream=True))
@@ -63,7 +65,7 @@
         self.cluster.wait_ready()
 
     def change(self, patch, change_id):
-        """Makes a change for the present version; returns the new one."""
+        """Makes a change based on the current version; returns the new one."""
         base = wait_until(self.cluster.config_version, "version known")
         answers = []
 
@@ -98,7 +100,8 @@
             answers = sorted(race.join(), key=lambda answer: answer[0])
             self.assertEqual([status for status, _ in answers], [200, 409])
             self.assertEqual(self.cluster.config_version(), base + 1)
-            # The loser is told who won; sent again, the winner's stands.
+            # The response to the loser names the winner. The winner's change
+            # sent again has the same result.
             winner = answers[1][1]["winner_change_id"]
             self.assertIn(winner, (f"race-{i}-a", f"race-{i}-b"))
             again = self.cluster.change(target(4000 + ord(winner[-1])), winner,
@@ -113,7 +116,7 @@
         self.assertEqual((first[0], second[0]), (200, 200))
         self.assertEqual(first[1]["version"], second[1]["version"])
         self.assertEqual(self.cluster.config_version(), base + 2)
-        # The same id for another change is refused.
+        # Another change with the same id is refused.
         self.assertEqual(self.cluster.change(target(9), "again", base)[0], 409)
 
     def test_leader_killed_while_gateways_serve(self):
--- a/tests/process/deployments.py
+++ b/tests/process/deployments.py
@@ -1,4 +1,4 @@
-"""Configuration documents and fake fleets of the two deployments."""
+"""Configuration documents and fake fleets of the example deployments."""
 
 import hashlib
 
@@ -9,7 +9,7 @@
 
 
 class Deployment:
-    """One deployment: its pools, pipelines, services, accounts, classes."""
+    """A deployment: its pools, pipelines, services, accounts and classes."""
 
     def __init__(self, name, domains, workers, services, silent, pace_us):
         self.name = name
@@ -106,7 +106,7 @@
 
 
 def small(workers=(2, 2, 2, 3), services=2, pace_us=1000):
-    """One small deployment for tests of failures."""
+    """Returns a small deployment for tests of failures."""
     return (Deployment("t", ["d-1", "d-2", "d-3"], workers,
                        {"desk": services}, "desk", pace_us)
             .pipeline("ask", 8000)
@@ -128,7 +128,7 @@
 
 
 def document(deployments, ports):
-    """Whole configuration document of the deployments."""
+    """Returns the complete configuration document of the deployments."""
     result = {"classes": CLASSES, "accounts": {}, "pools": {},
               "pipelines": {}, "services": {}}
     for account in ACCOUNTS:
@@ -144,7 +144,8 @@
 
 
 def fake_fleet(deployments):
-    """The fakes' file: every server and the platform's VM list."""
+    """Returns the content of the fakes' file: all servers and the server of the
+    platform's VM list."""
     return {"servers": [{"id": "platform", "kind": "platform"}] +
             [server for deployment in deployments
              for server in deployment.fakes()]}
--- a/tests/process/fakes_test.py
+++ b/tests/process/fakes_test.py
@@ -1,4 +1,5 @@
-"""The fakes answer by docs/design/backend-calls.md and do wrong as told."""
+"""Tests that the fakes reply as docs/design/backend-calls.md says, and that
+their faults can be injected."""
 
 import http.client
 import json
@@ -37,7 +38,7 @@
         return caller.get_json(self.control, "/record")
 
     def stream(self, body):
-        """Returns the tokens of a completion, also when it is cut."""
+        """Returns the tokens of a completion, also of one that breaks off."""
         try:
             data = self.call("t-engine-1", "/v1/completions", body)[2]
         except http.client.IncompleteRead as cut:
@@ -46,7 +47,7 @@
                 for line in data.split(b"\n") if line.startswith(b"data: {")]
 
     def test_stop_is_answered_once_every_connection_is_closed(self):
-        """A caller that asks after the stop never writes to a kept one."""
+        """Once the stop is confirmed, no kept connection can be used."""
         port = self.ports["t-encoder-1"]
         body = json.dumps({"model": "m", "input": TEXT})
         kept = [http.client.HTTPConnection("127.0.0.1", port)
--- a/tests/process/fault_proxy.py
+++ b/tests/process/fault_proxy.py
@@ -1,5 +1,5 @@
-"""A TCP proxy on loopback whose connections can be delayed, reset, cut one way
-or silenced."""
+"""A TCP proxy on loopback that can delay or reset its connections, or discard
+data in one or both directions."""
 
 import socket
 import struct
@@ -10,7 +10,7 @@
 
 
 class FaultProxy:
-    """Stands before one address; `mode` holds for all of its connections."""
+    """Proxy for one address; `mode` applies to all of its connections."""
 
     def __init__(self, ip, target):
         host, port = target.rsplit(":", 1)
@@ -72,7 +72,7 @@
                 if self.mode == "delay":
                     time.sleep(0.15)
                 if self.mode in (own_cut, "silent"):
-                    continue  # Swallowed, and nobody hears of it.
+                    continue  # Discarded without an error on either side.
                 sink.sendall(data)
         except OSError:
             pass
--- a/tests/process/golden_test.py
+++ b/tests/process/golden_test.py
@@ -1,6 +1,6 @@
-"""Whole sessions, compared exactly with tests/golden; ids and times made
-stable. `CITRONLANE_RENEW=1 ctest --test-dir build -R process-golden` writes
-the files anew."""
+"""Compares complete sessions with the files in tests/golden, after replacing
+ids and times by constants. To write the files again, run
+`CITRONLANE_RENEW=1 ctest --test-dir build -R process-golden`."""
 
 import json
 import os
@@ -15,7 +15,7 @@
 RENEW = os.environ.get("CITRONLANE_RENEW")
 SHOWN_HEADERS = ("Content-Type", "X-Verdict", "X-Config-Version",
                  "X-Cost-By-Stage")
-# What differs from run to run, and what stands for it.
+# Patterns of the texts that differ between runs, and their replacements.
 STABLE = [
     (r"gateway-1-\d+-r\d+", "<refusal>"),
     (r"gateway-1-\d+-\d+", "<request>"),
@@ -76,7 +76,7 @@
 
 class GoldenTest(ClusterTestCase):
     controls = 3
-    # A hedge would show in the costs.
+    # A hedged call would change the costs.
     gateway_settings = {"hedge_budget": 0}
 
     def compare(self, name, session):
@@ -88,7 +88,7 @@
             self.assertEqual(session, file.read())
 
     def exchange(self, name, method, path, body, headers):
-        """One exchange as text."""
+        """Makes a call; returns it and the response as text."""
         headers = {"Authorization": "Bearer " + deployments.key_of("buyers"),
                    **headers}
         status, head, answer = caller.exchange(
--- a/tests/process/leaving_test.py
+++ b/tests/process/leaving_test.py
@@ -1,4 +1,4 @@
-"""A backend server that is leaving receives no new work."""
+"""Tests that a draining backend server receives no new work."""
 
 import time
 import unittest
@@ -8,11 +8,11 @@
 from process.control_test import Load
 from process.processes import wait_until
 
-# Time of load after the platform's mark; the checker's bound is 3 s.
+# Time of load after the server begins to drain; the checker's limit is 3 s.
 WATCHED_SECONDS = 4.5
-# Gateways go on by their leases for longer.
+# Shorter than the leases by which gateways continue without control.
 CONTROL_SILENT_SECONDS = 1.5
-# Calls after which the busiest engine is taken.
+# Number of calls after which the busiest engine is chosen.
 SETTLED_CALLS = 10
 
 
@@ -21,14 +21,15 @@
     gateways = 2
 
     def busiest_engine(self):
-        """Name of the engine that ran most calls, once there are enough."""
+        """Returns the engine that ran most calls, once there are enough."""
         counts = Counter(run["server"] for run in self.runs()
                          if run["server"].startswith("t-engine-"))
         return (counts.total() >= SETTLED_CALLS and
                 counts.most_common(1)[0][0])
 
     def leave(self, how, control_silent_seconds=0):
-        """Loads the fleet while the engine it uses most leaves."""
+        """Sends requests while the busiest engine drains. Returns the times of
+        its later calls, in seconds since it began to drain."""
         with Load(self) as load:
             server = wait_until(self.busiest_engine, "engine in use")
             if control_silent_seconds:
@@ -53,12 +54,12 @@
     def test_server_says_so_itself(self):
         self.leave("drain_unlisted")
 
-    # A gateway went on with a server that had told it so, until control said
-    # the same.
+    # Guards against a gateway that sends calls to a server whose replies say
+    # that it drains, until control reports the same.
     def test_server_says_so_itself_while_control_is_silent(self):
         late = self.leave("drain_unlisted", CONTROL_SILENT_SECONDS)
-        # One call at a time a gateway: the one by which it learns of it. Once
-        # control speaks it may tell of an incarnation that was not known yet.
+        # At most one call per gateway: the one whose reply reports the drain.
+        # Later ones don't count: control may report a new incarnation.
         silent = [left_for for left_for in late
                   if left_for < CONTROL_SILENT_SECONDS]
         self.assertLessEqual(len(silent), self.gateways)
--- a/tests/process/lost_disk_test.py
+++ b/tests/process/lost_disk_test.py
@@ -1,4 +1,5 @@
-"""A control VM loses its disk, is replaced, and another one is lost."""
+"""Tests that nothing is lost when a control VM loses its disk, is replaced, and
+another one is lost."""
 
 import os
 import shutil
@@ -27,7 +28,8 @@
         return int(control.name.rpartition("-")[2])
 
     def follower(self, *others):
-        """A control process that neither leads nor is one of the others."""
+        """Returns a control process that is neither the leader nor one of the
+        others."""
         leader = wait_until(self.cluster.leader, "a leader")
         return next(control for control in self.cluster.controls
                     if control is not leader and control not in others)
@@ -42,7 +44,7 @@
         return False
 
     def start_new(self, lost):
-        """Starts a control process with an empty folder and an id of its own."""
+        """Starts a control process with an empty folder and a new id."""
         cluster = self.cluster
         name = f"control-{NEW_ID}"
         cluster.ports[name] = {part: free_port() for part in PARTS}
@@ -68,7 +70,7 @@
         lost = self.follower()
         self.lose_disk(lost)
 
-        # With the same settings it says what to do, and does not serve.
+        # With unchanged settings it reports what to do and does not serve.
         lost.start()
         self.assertEqual(lost.wait(), 1)
         self.assertIn("add this VM as a learner", lost.log())
--- a/tests/process/once_test.py
+++ b/tests/process/once_test.py
@@ -1,4 +1,5 @@
-"""A non-idempotent request runs at most once, whatever dies."""
+"""Tests that a non-idempotent request runs at most once, whichever process is
+killed."""
 
 import unittest
 
@@ -6,7 +7,8 @@
 from process.cluster_test_case import ClusterTestCase
 from process.processes import wait_until
 
-# Where the first gateway dies: held pool, and token for the engine.
+# Points at which the first gateway is killed: pool that is held, and the token
+# for the engine.
 STEPS = [("t-encoder", 0), ("t-retriever", 0), ("t-reranker", 0),
          ("t-engine", 0), ("t-engine", 5)]
 RUNNING = "idempotent_request_running"
@@ -18,7 +20,7 @@
     control_settings = {"gateway_timeout_ms": 4000}
 
     def resend(self, text, key, gateway=0):
-        """Sends again until the answer is not that it still runs."""
+        """Resends the request until it is not refused as still running."""
         calls = []
 
         def settled():
--- a/tests/process/platform_config_test.py
+++ b/tests/process/platform_config_test.py
@@ -1,5 +1,5 @@
-"""Large configurations in quick succession, on real processes among a stand-in
-of the platform."""
+"""Tests of large configurations in quick succession, with real processes and a
+simulated platform."""
 
 import json
 import time
@@ -10,11 +10,11 @@
 from process.processes import wait_until
 
 ROUTES = 1400
-# Bound of the platform's operators, from the acknowledgement on.
+# The platform's limit, counted from the acknowledgement.
 IN_FORCE_SECONDS = 2.5
-# A control VM's limit is 256 MB.
+# Memory limit of a control VM: 256 MB.
 CONTROL_MEGABYTES = 128
-# After which nobody waits for a gateway that confirms nothing.
+# Time after which control does not wait for a gateway that confirms nothing.
 GIVEN_UP_SECONDS = 1.5
 
 
@@ -22,7 +22,8 @@
     gateways = 4
 
     def change(self, document):
-        """Sends the next version; returns it and when it was acknowledged."""
+        """Sends the next version; returns the document and the time of the
+        acknowledgement."""
         self.fleet.version += 1
         document = dict(document, version=self.fleet.version)
         wait_until(lambda: self.fleet.put(document) == 200, "an answer")
@@ -41,8 +42,9 @@
                                for ip in ips), "the newest version in force")
         self.assertLess(time.monotonic() - acknowledged, IN_FORCE_SECONDS)
 
-    # Each version went to each gateway whole, behind all that came before it:
-    # control held them all, and gateways served by what had been replaced.
+    # Guards against queueing the complete document of each version for each
+    # gateway: control then held all of them in memory, and gateways used
+    # versions that had been replaced.
     def test_1_changes_overtake_what_a_stopped_gateway_has_not_read(self):
         ips = self.fleet.gateway_ips
         stopped = ips[0]
@@ -62,13 +64,14 @@
         for i in range(len(ips)):
             answer = self.fleet.ask("GET", last + "x", b"", new_id(), i)
             self.assertEqual(answer.status, 200)
-        # After the first document a gateway that runs reads differences only.
+        # A running gateway receives only differences after the first document.
         for ip in ips[1:]:
             for line in self.lines(ip, "config in force")[1:]:
                 self.assertGreater(line["base"], 0)
                 self.assertLess(line["bytes"], line["document_bytes"] / 4)
 
-    # Operators went on while gateways still served by the version before.
+    # Guards against an acknowledgement to the operator while gateways still use
+    # the previous version.
     def test_2_what_is_acknowledged_is_held_by_every_gateway(self):
         document = with_more_routes(self.fleet.document, ROUTES)
         for _ in range(10):
@@ -105,7 +108,8 @@
             stopped.resume()
 
     def was_in_force(self, version):
-        """Whether control waited for no gateway when it acknowledged this."""
+        """Returns whether the version was in force on all gateways when control
+        acknowledged it."""
         return any(line["version"] == version and line["in_force"] == "yes"
                    for ip in self.fleet.control_ips
                    for line in self.lines(ip, "config acknowledged"))
--- a/tests/process/platform_fleet.py
+++ b/tests/process/platform_fleet.py
@@ -1,5 +1,5 @@
-"""A whole fleet on loopback: control VMs and gateways as real processes, each
-on an address of its own, and the platform's stand-in around them."""
+"""A fleet on loopback: control VMs and gateways as real processes, each with an
+address of its own, and the simulated platform."""
 
 import http.client
 import json
@@ -23,7 +23,7 @@
 
 
 def with_more_routes(document, count):
-    """The document with so many routes of a plain service added."""
+    """Returns the document with `count` routes of a plain service added."""
     routes = list(document["routes"])
     first = len(routes)
     routes += [{"name": f"more-{i}", "hostname": HOST,
@@ -35,7 +35,7 @@
 
 
 class Answer:
-    """What a caller got; `whole` says that the answer ended as it should."""
+    """The response to a caller; `whole` tells whether it was complete."""
 
     def __init__(self, status, headers, body, whole):
         self.status = status
@@ -45,8 +45,8 @@
 
 
 class Fleet:
-    """`controls`, `gateways` and `stages`, servers of the stage pool, say how
-    many."""
+    """Owns the processes and the simulated platform. `controls`, `gateways` and
+    `stages` (servers of the stage pool) are their numbers."""
 
     def __init__(self, controls=3, gateways=2, stages=2):
         self.folder = tempfile.mkdtemp(prefix="citronlane-platform-")
@@ -122,8 +122,9 @@
         shutil.rmtree(self.data_dir(ip))
 
     def is_voter(self, ip):
-        """What the process itself logged last of its role. What the one before
-        it logged says nothing: this one may not have logged yet."""
+        """Returns whether the last role that the process logged is a voter's.
+        Lines of the previous process do not count, since this one may not have
+        logged its role yet."""
         lines = [json.loads(line) for line in
                  self.processes[ip].log_since_start().splitlines()]
         roles = [line.get("role") for line in lines
@@ -169,7 +170,7 @@
         return document
 
     def call_control(self, method, path, body=None, ip=None, seconds=3):
-        """One call as the operator makes it, with up to two redirects."""
+        """Makes an operator's call, following up to two redirects."""
         host = f"{ip or self.control_ips[0]}:{self.ports['control']}"
         for _ in range(3):
             connection = http.client.HTTPConnection(host, timeout=seconds)
@@ -216,7 +217,7 @@
             connection.close()
 
     def wait_ready(self):
-        """Every gateway has the newest configuration."""
+        """Returns whether all gateways have the newest configuration."""
         def in_force():
             return all(self.is_ready(ip) and self.route_version(ip) ==
                        self.document["version"] for ip in self.gateway_ips)
@@ -273,7 +274,8 @@
         return "".join(process.log() for process in self.processes.values())
 
     def account(self):
-        """For a failed test: the logs, and what each stage server was asked."""
+        """Returns the logs of all processes and the calls of each stage server,
+        for the report of a failed test."""
         parts = []
         for ip, process in self.processes.items():
             parts.append(f"--- {process.name} ({ip}), "
@@ -282,12 +284,12 @@
         for stage in self.stages:
             parts.append(f"--- stage server {stage.id} at {stage.address}, "
                          f"holds {sorted(stage.held)}")
-            parts += stage.told[-LOG_LINES:]
+            parts += stage.call_log[-LOG_LINES:]
         return "\n".join(parts)
 
 
 class LoggedProcess(Process):
-    """Writes standard output to the log file too: there the events are."""
+    """Also writes standard output, which has the event log, to the log file."""
 
     def start(self):
         import subprocess  # As in Process.start.
@@ -301,7 +303,7 @@
         return self.child.wait(seconds)
 
     def log_since_start(self):
-        """Whole lines only: the last one may be half written."""
+        """Returns the complete lines; the last one may be partly written."""
         with open(self.log_path, "rb") as log:
             log.seek(self.log_begin)
             text = log.read().decode(errors="replace")
@@ -309,7 +311,7 @@
 
 
 def read_answer(sock):
-    """Reads one answer as far as it comes."""
+    """Reads a response, or what there is of one that breaks off."""
     reply = http.client.HTTPResponse(sock)
     try:
         reply.begin()
--- a/tests/process/platform_parts_test.py
+++ b/tests/process/platform_parts_test.py
@@ -1,5 +1,5 @@
-"""A stage pool so large that it is divided by failure domain, on real processes
-among a stand-in of the platform."""
+"""Tests of a stage pool so large that it is partitioned by failure domain, with
+real processes and a simulated platform."""
 
 import collections
 import concurrent.futures
@@ -15,7 +15,7 @@
 
 class DividedPoolTest(FleetTestCase):
     gateways = 4
-    # More than one gateway serves as a whole pool.
+    # More servers than one gateway may own as a whole pool.
     stages = 26
 
     def setUp(self):
@@ -28,18 +28,19 @@
                 self.fleet.processes[ip].log_since_start().splitlines()]
 
     def owners(self):
-        """Parts that running gateways say they have, by the newest number."""
+        """Returns the owner of each partition, from the logs of running
+        gateways, by the assignment with the highest number."""
         newest, found = 0, {}
         for ip in self.fleet.gateway_ips:
-            told = [line for line in self.lines(ip)
+            changes = [line for line in self.lines(ip)
                     if line["event"] == "owners changed"]
-            if not told or not self.fleet.processes[ip].running():
+            if not changes or not self.fleet.processes[ip].running():
                 continue
-            number = told[-1]["number"]
+            number = changes[-1]["number"]
             if number > newest:
                 newest, found = number, {}
             if number == newest:
-                found.update({part: ip for part in told[-1]["own"].split()})
+                found.update({part: ip for part in changes[-1]["own"].split()})
         return found
 
     def ask_all(self, count, gateways):
@@ -50,8 +51,8 @@
                 range(count)))
 
     def callers(self, begun):
-        """Gateways that called each part's servers since their logs held this
-        many lines."""
+        """Returns the gateways that called each partition's servers, by the log
+        lines after the numbers in `begun`."""
         callers = collections.defaultdict(set)
         for ip in self.fleet.gateway_ips:
             for line in self.lines(ip)[begun.get(ip, 0):]:
@@ -85,7 +86,7 @@
         wait_until(lambda: self.owners().get(PARTS[0]) not in (None, lost),
                    "another gateway for the part")
         following = self.owners()[PARTS[0]]
-        # In between nobody else called the part's servers.
+        # No third gateway called the partition's servers in between.
         self.assertLessEqual(self.callers(begun)[PARTS[0]], {following})
         self.assertEqual(set(self.ask_all(60, others)), {200})
         self.fleet.start_gateway(lost)
--- a/tests/process/platform_soak.py
+++ b/tests/process/platform_soak.py
@@ -1,13 +1,14 @@
-"""Randomized soak of the platform's programs: real processes under signals,
-lost disks, servers that answer twice and a fault proxy before every server,
-while callers and an operator go on. Faults of gateways, of control VMs and of
-servers overlap. Checks the promises from what callers and servers see.
+"""Randomized soak test of the platform's programs. Real processes get signals
+and lose disks, servers reply twice, and a proxy injects network faults before
+every server, while callers and an operator send requests. Faults of gateways,
+control VMs and servers overlap. Checks the guarantees of the system by the
+records of callers and servers.
 
     python3 -B -m process.platform_soak --seeds 5 [--first N] [--seconds S]
         [--output FOLDER]
 
-Each run leaves a file of its own in FOLDER, named by its seed: what it counted,
-each broken promise and, if there is one, the logs of all processes.
+Each run writes a new file to FOLDER, named by its seed, with its counts, each
+violated guarantee and, if there is one, the logs of all processes.
 """
 
 import argparse
@@ -28,20 +29,21 @@
 
 CALLERS = 10
 OUTPUT = os.path.join(BUILD, "soak-output")
-# Some servers work well, so that what others do wrong reaches callers.
+# "pass" is more likely, so that some servers work and replies reach callers.
 PROXY_MODES = MODES + ("pass",) * 3
-# Of the operator's documents, most of which are small.
+# Numbers of routes added to the operator's documents, most of which are small.
 MORE_ROUTES = (0, 0, 0, 300, 1400)
 NOT_RUN_PROMISES = (408, 421, 429, 503)
 
 
 class Soak:
-    """One seed: `faults` holds every broken promise, a line each."""
+    """A run with one seed; `faults` has a line for each violated guarantee."""
 
     def __init__(self, seed, seconds, stages=2):
         self.seed = seed
         self.random = random.Random(seed)
-        # Draws of its own: a seed's faults are the same whatever the sizes.
+        # A generator of its own, so that the injected faults of a seed do not
+        # depend on the sizes.
         self.sizes = random.Random(f"{seed} sizes")
         self.seconds = seconds
         self.faults = []
@@ -52,7 +54,7 @@
         self.lock = threading.Lock()
         self.fleet = Fleet(controls=3, gateways=3, stages=stages)
         self.account = ""
-        self.kept = 0  # Requests on a connection that had been used before.
+        self.kept = 0  # Requests on reused connections.
         self.stops_overlapped = 0
         self.proxies = []
         ip = f"{self.fleet.net}.201"
@@ -95,11 +97,11 @@
                 proxy.close()
         return self.faults
 
-    # What goes on all the time.
+    # Load.
 
     def call(self, index):
-        """Keeps a connection to each gateway and uses it until that one ends
-        it, however it is said to stop meanwhile."""
+        """Sends requests over a kept connection to each gateway until the
+        gateway closes it, also while the gateway shuts down."""
         kinds = (("POST", "/once/a"), ("GET", "/look/a"), ("POST", "/chat/a"))
         source = random.Random(index)
         connections = {}
@@ -133,7 +135,8 @@
             sock.close()
 
     def note(self, history, begun, request_id, path, gateway, sock, answer):
-        """What went over a connection, to tell of when an answer was wrong."""
+        """Records an exchange on a connection, for the report of a wrong
+        answer."""
         try:
             port = sock.getsockname()[1] if sock else 0
         except OSError:
@@ -161,11 +164,12 @@
     # Faults.
 
     def disturb(self):
-        """Each of these goes on by itself, so that their faults overlap. Two
-        gateways are disturbed at once, and one control VM: one loss at a time
-        is tolerated there."""
+        """Runs loops that inject faults independently, so that these overlap:
+        at most two gateways and one control VM at once, since control tolerates
+        one loss at a time."""
         end = time.monotonic() + self.seconds
-        # Sources of their own, so that the choices of each follow the seed.
+        # Each loop has a generator of its own, so that its choices depend on
+        # the seed only.
         loops = (("servers", self.server_step, 0.15),
                  ("gateways a", lambda source: self.gateway_step(
                      source, self.fleet.gateway_ips[:2]), 0.6),
@@ -193,7 +197,7 @@
             source.choice(self.proxies).set_mode(source.choice(PROXY_MODES))
             return
         server = source.choice(self.servers())
-        # Replies to stage calls have no id that could be left out or cut.
+        # Replies to stage calls have no id that could be omitted or truncated.
         fault = ("twice" if server in self.fleet.stages else
                  source.choice(SECOND_ANSWERS))
         server.faults += [fault] * source.randint(1, 4)
@@ -214,8 +218,8 @@
             if source.random() < 0.5:
                 self.disturb_stopping(source, process)
             code = process.wait(15)
-            # The signal may come before the process has begun to handle it:
-            # then it has said nothing and taken nothing.
+            # The signal may arrive before the process handles it. The process
+            # has then logged nothing and accepted no request.
             has_begun = process.log_since_start() != ""
             if code != 0 and (has_begun or code != -signal.SIGTERM):
                 self.fault(f"{ip} ended with {code} at SIGTERM")
@@ -242,7 +246,7 @@
                      source.choice(("kill", "pause", "hup", "term")))
 
     def control_step(self, source):
-        # One loss at a time is tolerated, and it is repaired before the next.
+        # Control tolerates one loss at a time: wait for the replacement.
         ip = source.choice(self.fleet.control_ips)
         how = source.choice(("kill", "pause", "hup", "term", "wipe"))
         self.restart(source, ip, self.fleet.start_control, how)
@@ -253,16 +257,16 @@
         for server in self.servers():
             server.faults.clear()
         for proxy in self.proxies:
-            proxy.set_mode("reset")  # Drops what hangs.
+            proxy.set_mode("reset")  # Closes connections that hang.
             proxy.set_mode("pass")
 
-    # Promises.
+    # Checks of the guarantees.
 
     def check_recovery(self):
         try:
             wait_until(self.served_everywhere, "service after the faults", 15)
-            # The operator goes on: what is acknowledged during the read counts
-            # for the next one.
+            # The operator still sends changes: those acknowledged during the
+            # read need not be in its result.
             acked = self.acked
             read = wait_until(self.fleet.get, "a read after the faults", 10)
             if read["version"] < acked:
@@ -280,7 +284,7 @@
                        for gateway in range(3)
                        for path in ("/once/a", "/chat/a"))
         except OSError:
-            # One that has just been started again does not listen yet.
+            # A process that was just restarted does not listen yet.
             return False
 
     def check_answers(self):
@@ -312,7 +316,7 @@
     def check_body(self, path, request_id, answer):
         if answer.headers.get("x-citronlane-request-id") != request_id:
             self.fault(f"{request_id} got the answer of another request")
-        # The stand-in's seals name the request that they were made for.
+        # The seals of the simulated servers contain the id of their request.
         seal = answer.headers.get("x-citronlane-response-seal", "")
         if seal.split(".")[-1] != request_id:
             self.fault(f"{request_id} got an answer sealed {seal}")
@@ -341,7 +345,7 @@
 
 
 def write_apart(folder, name, text):
-    """Writes a new file; one that is there stays. Returns its path."""
+    """Writes a new file without overwriting one; returns its path."""
     os.makedirs(folder, exist_ok=True)
     number = 1
     while True:
@@ -369,7 +373,7 @@
         try:
             soak.run()
         except Exception:
-            pass  # It is among the faults, and the next seed is due.
+            pass  # Recorded in the faults; continue with the next seed.
         broken += bool(soak.faults)
         path = write_apart(options.output, f"seed-{seed}",
                            f"{soak.report()}\n{soak.account}\n")
--- a/tests/process/platform_stand_in.py
+++ b/tests/process/platform_stand_in.py
@@ -1,5 +1,5 @@
-"""Stand-in of the platform: its list of servers, and servers of each kind, by
-the platform's published protocol. Each server is a thread a connection."""
+"""Simulated platform: its list of servers, and servers of each kind, by the
+platform's published protocol. A server uses a thread for each connection."""
 
 import json
 import re
@@ -9,12 +9,13 @@
 
 SEAL = "X-Citronlane-Response-Seal"
 REQUEST_ID = "x-citronlane-request-id"
-# Second answers, late: as they were, without the request's id, cut in the head.
+# Faults that send a second, late reply: a copy of the first one, the same
+# without the request id, or one that ends within the header.
 SECOND_ANSWERS = ("twice", "twice_no_id", "twice_cut")
 
 
 class Request:
-    """One request as a server reads it."""
+    """A request that a server read."""
 
     def __init__(self, method, target, headers, body):
         self.method = method
@@ -35,7 +36,7 @@
         self.sock = sock
         self.buffer = b""
         self.sent = b""
-        # Goes out where the reply to the next request is expected.
+        # Sent before the reply to the next request.
         self.late = b""
 
     def _fill(self):
@@ -96,14 +97,14 @@
 
 
 class Server:
-    """A backend server: `service` and `id` as the list names them. `faults`
-    holds what to do to the next requests instead of serving them. Each is one
-    start of it: the list tells starts apart by `born`, where that is set."""
+    """One incarnation of a backend server, with `service` and `id` as in the
+    list. `faults` has the faults for the next requests, one for each. The list
+    distinguishes incarnations by `born`, where that is set."""
 
     def __init__(self, ip, service, identity, domain, port=0, born=None):
         self.service = service
         self.id = identity
-        self.listed_id = None  # Where the list is late.
+        self.listed_id = None  # Id in an outdated list; None for `id`.
         self.domain = domain
         self.state = "ready"
         self.born = born
@@ -126,9 +127,9 @@
         return entry
 
     def next_start(self, born):
-        """A later start of the same server, at the same address. This one
-        takes no connection any more; what it has is cut by cut_connections."""
-        # Wakes the thread that accepts, which a close would not.
+        """Returns a new incarnation of the server at the same address. This one
+        accepts no more connections; cut_connections closes its open ones."""
+        # Wakes the accepting thread, which a close alone would not.
         self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
         ip, port = self.address.split(":")
@@ -136,14 +137,14 @@
                           born)
 
     def has(self, request_id):
-        """Whether the request, or a piece of it, came here."""
+        """Returns whether the request or a piece of it was received."""
         with self.lock:
             return any(request.id == request_id or
                        f'"id":"{request_id}"'.encode() in request.body
                        for request in self.requests)
 
     def cut_connections(self):
-        """As the end of its process does."""
+        """Closes all connections, as the end of the process would."""
         for sock in list(self.sockets):
             try:
                 sock.shutdown(socket.SHUT_RDWR)
@@ -199,7 +200,7 @@
             self.note_run(request.id)
             raise ConnectionError
         elif fault == "extra":
-            # A second reply that nobody asked for, with another id.
+            # An additional reply with another id, before the real one.
             self.note_run(request.id)
             connection.reply(200, b"stale", request_id="ffffffffffffffff")
             self.answer(connection, request)
@@ -212,7 +213,7 @@
         if fault == "twice_no_id":
             return re.sub(rb"X-Citronlane-Request-Id: [^\r]*\r\n", b"", answer)
         if fault == "twice_cut":
-            # In turn at each sixth of the head, and right behind the id.
+            # In turn at each sixth of the header, and right after the id.
             size = answer.index(b"\r\n\r\n")
             cuts = [size * part // 6 for part in range(1, 6)]
             if b"-Id: " in answer[:size]:
@@ -221,7 +222,8 @@
         return answer
 
     def reply_unread(self, connection):
-        """The connection was reset: its last reply was not read as a whole."""
+        """Called when a connection was reset before its last reply was read
+        completely."""
 
     def note_run(self, request_id):
         with self.lock:
@@ -235,8 +237,8 @@
 
 
 def fault_of_inputs(request_id, handles):
-    """What is wrong with the pieces that a request was given: another
-    request's, of two stages, or not each piece once. None if they are right."""
+    """Returns an error in the input handles of a request: from another request,
+    from two stages, or not each piece once; None if they are right."""
     names = [handle.rsplit("/", 1)[-1].split("-") for handle in handles]
     if any(len(name) != 3 or name[0] != request_id for name in names):
         return "another request's"
@@ -249,8 +251,8 @@
 
 
 class PlainServer(Server):
-    """Answers with what it was asked; "wait" takes half a second more, "hang"
-    says nothing until the gateway is gone."""
+    """Replies with the content of the request. Fault "wait" delays the reply by
+    half a second, "hang" sends none until the gateway closes the connection."""
 
     def answer(self, connection, request, fault=None):
         self.note_run(request.id)
@@ -270,12 +272,12 @@
 
 
 class StageServer(Server):
-    """Makes pieces; a handle names its request, stage and piece, so that inputs
-    of another request show, and the making, which is a new one each time.
+    """Runs pieces. A handle contains its request, stage and piece, so that
+    inputs of another request are detected, and a number that is new each time.
 
-    A result lies here until it is freed, or `handle_seconds` after its call
-    ended: callers that were told of it have to free it before, `left` holds
-    those that they did not."""
+    A result is stored until it is freed or `handle_seconds` after its call
+    ended. Callers that received the handle have to free it before; `left` has
+    the handles that they did not."""
 
     handle_seconds = 4
 
@@ -284,15 +286,15 @@
         self.call_seconds = call_seconds
         self.makings = 0
         self.made = set()
-        self.results = {}  # Handles with the time when each is dropped.
-        self.untold = set()
+        self.results = {}  # Expiry time by handle.
+        self.unreported = set()
         self.left = []
         self.wrong = []
-        self.told = []
+        self.call_log = []
 
     @property
     def held(self):
-        """What takes up space now."""
+        """The handles of the stored results."""
         with self.lock:
             self._drop_old()
             return set(self.results)
@@ -302,19 +304,20 @@
         for handle in [handle for handle, until in self.results.items()
                        if until <= now]:
             del self.results[handle]
-            if handle in self.untold:
-                self.untold.remove(handle)
+            if handle in self.unreported:
+                self.unreported.remove(handle)
             else:
                 self.left.append(handle)
 
-    def tell(self, what, names, connection):
-        """A line for a failed test, with the time as in the fleet's logs."""
+    def log_call(self, what, names, connection):
+        """Records a line for the report of a failed test, with the time in the
+        format of the fleet's logs."""
         try:
             peer = connection.sock.getpeername()
         except OSError as error:
             peer = error
         with self.lock:
-            self.told.append(f"{time.time():.3f} {what} {' '.join(names)} "
+            self.call_log.append(f"{time.time():.3f} {what} {' '.join(names)} "
                              f"by {peer}")
 
     def answer(self, connection, request, fault=None):
@@ -325,12 +328,12 @@
                 self._drop_old()
                 for handle in document["handles"]:
                     self.results.pop(handle, None)
-            self.tell("free", document["handles"], connection)
+            self.log_call("free", document["handles"], connection)
             connection.reply(200)
             return
         names = [f"{item['id']}-{item['stage']}-{item['piece']}"
                  for item in document["items"]]
-        self.tell("run", names, connection)
+        self.log_call("run", names, connection)
         time.sleep(self.call_seconds)
         handles = []
         for item, name in zip(document["items"], names):
@@ -348,23 +351,24 @@
         connection.handles = handles
         if connection.caller_is_gone():
             with self.lock:
-                self.untold |= set(handles)
-            self.tell("made, and nobody is told of", handles, connection)
+                self.unreported |= set(handles)
+            self.log_call("made, but not reported", handles, connection)
         else:
-            self.tell("made", handles, connection)
+            self.log_call("made", handles, connection)
         items = [{"handle": handle} for handle in handles]
         connection.reply(200, json.dumps({"items": items}).encode())
 
     def reply_unread(self, connection):
         handles = getattr(connection, "handles", [])
         with self.lock:
-            self.untold |= set(handles)
-        self.tell("reset, maybe nobody was told of", handles, connection)
+            self.unreported |= set(handles)
+        self.log_call("reset, possibly not reported", handles, connection)
 
 
 class Engine(Server):
-    """Streams `events` numbered events; goes on behind Last-Event-Id. "break"
-    closes in the middle of the third event, "silent" answers nothing."""
+    """Streams `events` numbered events, from the one after Last-Event-Id. Fault
+    "break" closes the connection within the third event, "silent" sends no
+    reply."""
 
     events = 6
     silence = 10
@@ -435,7 +439,7 @@
             sock.close()
 
     def _page(self, request):
-        # Two entries a page, so that pages are followed.
+        # Two entries per page, so that gateways have to read several pages.
         match = re.search(r"page_token=(\d+)", request.target)
         begin = int(match.group(1)) if match else 0
         entries = [server.entry() for server in self.servers]
--- a/tests/process/platform_test.py
+++ b/tests/process/platform_test.py
@@ -1,5 +1,5 @@
-"""The rules of the users' platform, each in its plain case, on real processes
-among a stand-in of the platform."""
+"""Tests of each rule of the users' platform in a simple case, with real
+processes and a simulated platform."""
 
 import json
 import signal
@@ -11,7 +11,7 @@
 from process.platform_fleet import (ACCOUNT, HOST, Fleet, new_id, read_answer)
 from process.processes import wait_until
 
-# Of a process with nothing in hand, well below its grace period.
+# For a process without requests in flight; well below its grace period.
 STOP_SECONDS = 5
 
 
@@ -31,7 +31,7 @@
             raise
 
     def run(self, result=None):
-        """Tells what the fleet and the stage servers did when a test fails."""
+        """Prints the logs of the fleet and stage servers when a test fails."""
         result = result or self.defaultTestResult()
         before = len(result.failures) + len(result.errors)
         super().run(result)
@@ -56,7 +56,7 @@
         return None
 
     def put(self, **changes):
-        """A new configuration, in force everywhere."""
+        """Sets a new configuration and waits until it is in force."""
         self.fleet.put_until_taken(self.fleet.make_document(**changes))
         self.fleet.wait_ready()
 
@@ -87,8 +87,7 @@
             self.assertEqual(server.wrong, [])
         wait_until(lambda: not any(stage.held for stage in self.fleet.stages),
                    "every result freed")
-        # None of them because its time was over, but for those that no
-        # gateway was told of.
+        # None expired, except results whose handles no gateway received.
         for stage in self.fleet.stages:
             self.assertEqual(stage.left, [])
 
@@ -230,8 +229,9 @@
     gateways = 1
 
     def test_one_answer_though_repeated_stages_are_late(self):
-        """The engine says nothing, so that the stages run again, and take too
-        long: one answer, and the next request on the connection gets its own."""
+        """The engine does not reply, so the stages run again and take longer
+        than the deadline. The request must get one response, and the next
+        request on the connection its own."""
         for engine in self.fleet.engines:
             engine.faults.append("silent")
         self.addCleanup(self.calm_stages)
@@ -262,7 +262,8 @@
     gateways = 1
 
     def check(self, data):
-        """Nothing of it runs; it gets a 4xx or a closed connection."""
+        """Sends the bytes: no request may run, and the response is a 4xx or the
+        end of the connection."""
         before = sum(len(server.requests) for server in self.fleet.plain)
         with self.fleet.connect() as sock:
             sock.sendall(data)
@@ -374,14 +375,14 @@
 
 
 class DrainTest(FleetTestCase):
-    """Operators drain a failure domain."""
+    """Drains of failure domains by operators."""
 
     def order(self, domain, what, ip=None):
         return self.fleet.call_control(
             "POST", f"/v1/evacuations/{domain}/{what}", ip=ip)[0]
 
     def domains_used(self, count=24):
-        """Failure domains in which servers of any kind heard of new requests."""
+        """Returns the failure domains whose servers received new requests."""
         ids = [new_id() for _ in range(count)]
         for i, request_id in enumerate(ids):
             path = "/chat/a" if i % 2 else "/look/a"
@@ -402,7 +403,7 @@
             self.assertEqual(self.order("a", "start"), 200)
         self.wait_for_domains({"b"})
         self.assertEqual(self.domains_used(), {"b"})
-        # Acknowledged orders outlive a loss of power.
+        # Acknowledged orders survive the kill of all control VMs.
         for ip in self.fleet.control_ips:
             self.fleet.processes[ip].kill()
         for ip in self.fleet.control_ips:
@@ -436,8 +437,8 @@
 
 
 class ControlLossTest(ControlTestCase):
-    # Three VMs for three voters: one that lost its disk has to be a voter
-    # again, for there is no other to take its place.
+    # The fleet has no spare VM: one that lost its disk must become a voter
+    # again.
 
     def test_all_killed_at_once(self):
         self.put()
@@ -450,7 +451,7 @@
         self.put()
 
     def test_each_disk_lost_in_turn(self):
-        # Each loss is repaired before the next one.
+        # Each lost voter is replaced before the next one loses its disk.
         for ip in self.fleet.control_ips:
             self.put()
             self.fleet.lose_disk(ip)
@@ -471,11 +472,11 @@
         self.fleet.control_ips.remove(gone)
         self.put()
         self.read_everywhere()
-        # A second loss right after the repair is borne.
+        # A second loss right after the replacement must be tolerated.
         lost = self.fleet.control_ips[0]
         self.fleet.processes[lost].kill()
         self.put()
-        # The first one comes back, hears that it was removed, and joins anew.
+        # The first VM restarts, learns that it was removed, and joins again.
         self.fleet.control_ips.append(gone)
         self.fleet.start_control(lost)
         self.fleet.start_control(gone)
@@ -523,8 +524,8 @@
 
 
 class StartAgainTest(FleetTestCase):
-    """Servers that stop and start again under their name and address, with a
-    later `born`."""
+    """Servers that restart under the same name and address as a new
+    incarnation, which the list shows by a later `born`."""
     controls = 1
 
     def setUp(self):
@@ -540,8 +541,8 @@
                 for ip in self.fleet.gateway_ips]
 
     def start_again(self, servers, server, cut=True):
-        """Puts a later start in the server's place; every gateway knows then.
-        Unless `cut`, connections to the former one stand."""
+        """Replaces the server by a new incarnation and waits until all gateways
+        have the changed list. Closes connections to the old one if `cut`."""
         before = self.list_changes()
         self.former.append(server)
         again = server.next_start((server.born or 1000) + 1000)
@@ -557,8 +558,9 @@
         return again
 
     def begin(self, method, path, request_id, servers, **headers):
-        """Starts a request; returns its thread, the list its answer will be
-        in, and the server that has it, or a stage of it, by then."""
+        """Starts a request and waits until a server has it or one of its
+        stages. Returns its thread, the list that will hold its answer, and the
+        server."""
         answers = []
         thread = threading.Thread(target=lambda: answers.append(
             self.fleet.ask(method, path, b"x" if method == "POST" else b"",
@@ -575,7 +577,7 @@
         self.assertEqual(json.loads(answer.body)["verdict"], "may_have_run")
 
     def served_by(self, server, method="POST", path="/once/a"):
-        """Whether a request that is sent now runs there."""
+        """Sends a request; returns whether it ran on the server."""
         request_id = new_id()
         self.fleet.ask(method, path, b"x" if method == "POST" else b"",
                        request_id)
@@ -592,13 +594,13 @@
         thread.join()
         self.check_may_have_run(answers[0])
         self.assertEqual(self.runs(starts + [again], request_id), 1)
-        # The later start is served like any other.
+        # The new incarnation is used like any other server.
         wait_until(lambda: self.served_by(again), "a request at the new start")
         self.assertEqual(again.runs.get(request_id, 0), 0)
 
     def test_unsafe_request_of_a_start_that_fell_silent_runs_once(self):
-        # The list tells of the new start while the former one's connections
-        # stand.
+        # The list has the new incarnation while connections to the old one are
+        # still open.
         for server in self.fleet.plain:
             server.faults.append("hang")
         starts = list(self.fleet.plain)
@@ -626,7 +628,7 @@
             self.assertEqual(self.runs(starts + [again], request_id), 1)
 
     def stage_calls(self, server):
-        """What gateways logged of calls to the start, in order."""
+        """Returns the log lines of calls to this incarnation, in order."""
         name = f"{server.id}@{server.born}" if server.born else server.id
         lines = [json.loads(line) for line in self.fleet.log().splitlines()
                  if '"call"' in line and f'"{name}"' in line]
@@ -646,7 +648,8 @@
         request_id = new_id()
         thread, answers, server = self.begin(
             "POST", "/chat/a", request_id, self.fleet.stages)
-        # Room for what the lost call may have made is kept, of that start.
+        # Gateways reserve memory for results that the lost call may have
+        # stored, on the old incarnation only.
         again = self.start_again(self.fleet.stages, server)
         thread.join()
         self.assertEqual(answers[0].status, 200)
@@ -654,7 +657,7 @@
         inputs = self.request_at(self.fleet.engines, request_id).headers[
             "x-citronlane-inputs"].split(",")
         self.assertEqual(len(inputs), 3)
-        # None was made by the former start.
+        # None was made by the old incarnation.
         self.assertTrue(set(inputs) <= set().union(
             *(one.made for one in self.fleet.stages)))
         wait_until(lambda: self.fleet.ask("POST", "/chat/a", b"x") and
@@ -679,7 +682,7 @@
         server = self.fleet.plain[0]
         asks(6)
         self.assertTrue(server.sockets)
-        # Its connections stand, as when a machine goes without a word.
+        # Its connections stay open, as when a machine fails.
         self.start_again(self.fleet.plain, server, cut=False)
         seen = len(server.requests)
         asks(12)
@@ -701,7 +704,7 @@
         time.sleep(0.5)
         process.send(signal.SIGTERM)
         wait_until(lambda: not self.fleet.is_ready(ip), "not ready")
-        # The balancer may still send callers for a moment.
+        # The load balancer may still route callers here for a moment.
         self.assertEqual(self.fleet.ask("POST", "/once/a", b"x").status, 200)
         thread.join()
         self.assertEqual(answers[0].status, 200)
@@ -717,8 +720,8 @@
         process = self.fleet.processes[ip]
         try:
             process.send(signal.SIGTERM)
-            # The balancer still sends callers; this one is more patient than
-            # the process may be.
+            # The load balancer still routes callers here; the deadline of this
+            # one is later than the grace period allows.
             time.sleep(2.0)
             with self.fleet.connect(1) as sock:
                 sock.sendall(self.fleet.head("POST", "/chat/a", new_id(),
@@ -741,7 +744,7 @@
             self.assertTrue(process.running())
 
     def test_reload_signals_neither_delay_nor_break_a_stop(self):
-        """Operators' tools repeat a reload until the process is gone."""
+        """Operators' tools repeat the reload signal until the process ends."""
         for ip, start in ((self.fleet.gateway_ips[-1], self.fleet.start_gateway),
                           (self.fleet.control_ips[-1],
                            self.fleet.start_control)):
--- a/tests/process/processes.py
+++ b/tests/process/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a run on loopback: started, waited for and ended by their id."""
+"""Child processes of a test run on loopback."""
 
 import json
 import os
@@ -11,8 +11,8 @@
 LOOPBACK = "127.0.0.1"
 WAIT_SECONDS = 20.0
 POLL_SECONDS = 0.01
-# Below the ephemeral ports, so that no outgoing connection takes one, and
-# apart from the ports of the unit tests.
+# Below the range of ephemeral ports, so that no outgoing connection uses one,
+# and different from the ports of the unit tests.
 FIRST_PORT, LAST_PORT = 10000, 20000
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(
@@ -27,7 +27,7 @@
 
 
 def free_port():
-    """Returns a loopback port that nothing listens on."""
+    """Returns a loopback port without a listener."""
     global _ports
     for port in _ports:
         with socket.socket() as probe:
@@ -55,7 +55,7 @@
 
 
 class Process:
-    """One child process with its log file."""
+    """A child process and its log file."""
 
     def __init__(self, name, arguments, folder):
         self.name = name
@@ -86,7 +86,7 @@
         return self.wait()
 
     def terminate(self):
-        """Asks for a graceful shutdown without waiting for it."""
+        """Requests a graceful shutdown without waiting for it."""
         if self.running():
             self.send(signal.SIGTERM)
 
@@ -101,7 +101,8 @@
 
 
 def end(processes):
-    """SIGTERM to all, then SIGKILL to those that stay. Returns exit codes."""
+    """Sends SIGTERM to all, then SIGKILL to those that do not end. Returns the
+    exit codes by name."""
     for process in processes:
         process.terminate()
     codes = {}
@@ -115,7 +116,7 @@
 
 
 def write_json(path, value):
-    """Replaces the file as a whole; another process may be reading it."""
+    """Replaces the file atomically, as another process may read it."""
     with open(path + ".new", "w", encoding="utf-8") as file:
         json.dump(value, file, indent=2)
     os.replace(path + ".new", path)
--- a/tests/process/recovery_test.py
+++ b/tests/process/recovery_test.py
@@ -1,4 +1,5 @@
-"""Control VMs lose their disks, or the cluster for a long time."""
+"""Tests of control VMs that lose their disks, or the connection to the cluster
+for a long time."""
 
 import os
 import shutil
@@ -10,7 +11,7 @@
 from process.processes import wait_until
 
 CHANGES = 150
-# Small, so that a VM that was away is sent a snapshot.
+# Small, so that a VM that was paused has to receive a snapshot.
 SNAPSHOT_INTERVAL = 50
 
 
@@ -19,7 +20,7 @@
     control_settings = {"snapshot_interval": SNAPSHOT_INTERVAL}
 
     def change(self, count, name):
-        """Makes so many changes; returns the last version."""
+        """Makes `count` changes; returns the last version."""
         base = wait_until(self.cluster.config_version, "version known")
         for i in range(count):
             wait_until(lambda i=i: self.cluster.change(
@@ -33,7 +34,7 @@
                                     *self.cluster.admin_options())[0] == 0
 
     def lose(self, control):
-        """Ends the process for good and loses its disk."""
+        """Kills the process and removes its data folder; returns its id."""
         control.kill()
         self.cluster.controls.remove(control)
         node = control.name.split("-")[1]
@@ -41,7 +42,7 @@
         return node
 
     def replace(self, lost, node):
-        """Brings a new VM in under a new id and takes the lost one out."""
+        """Adds a new VM as a voter under a new id and removes the lost one."""
         new = self.cluster.add_control(node)
         ports = self.cluster.ports[new.name]
         address = "127.0.0.1:{}".format
@@ -62,7 +63,7 @@
                         if control is not leader)
         new = self.replace(self.lose(follower), "4")
         self.lose(leader)
-        # The repaired VM is half of the quorum now.
+        # The quorum of two now needs the new VM.
         self.assertEqual(wait_until(self.cluster.config_version, "version"),
                          version)
         self.assertEqual(self.cluster.admin("GET", "/v1/config")[1], document)
@@ -74,7 +75,7 @@
         self.cluster.wait_version(version + 1)
         self.assertTrue(new.running())
         self.figure(changes=CHANGES, disks_lost=2, entries_lost=0)
-        # Back to three, for the tests after this one.
+        # Back to three VMs for the following tests.
         self.replace("1" if leader.name == "control-1" else
                      leader.name.split("-")[1], "5")
 
--- a/tests/process/shutdown_test.py
+++ b/tests/process/shutdown_test.py
@@ -1,4 +1,4 @@
-"""A planned stop of a gateway cuts off nothing."""
+"""Tests that a planned stop of a gateway interrupts no request."""
 
 import unittest
 
@@ -14,7 +14,7 @@
     gateways = 2
 
     def streams(self, count, gateway):
-        """Starts streams and returns once all of them are held half way."""
+        """Starts streams; returns once all are held after HOLD_AT tokens."""
         self.cluster.fault("t-engine", hold=True, hold_at=HOLD_AT)
         begun = []
         background = caller.Background()
@@ -32,7 +32,7 @@
         stopping.terminate()
         wait_until(lambda: not self.cluster.is_ready(stopping), "not ready")
         self.assertTrue(stopping.running())
-        # The balancer has moved on: new work goes to the other gateway.
+        # The load balancer now routes new requests to the other gateway.
         background.start(self.ask, "moved", 1)
         late = caller.Background()
         late.start(self.ask, "late", 0)
@@ -42,8 +42,8 @@
         self.cluster.gateways.remove(stopping)
         self.assertEqual(len(calls), STREAMS + 1)
         self.assert_whole(calls)
-        # Taken while the balancer notices, or refused with a true reason, or
-        # the listener was closed already.
+        # A late request is either served, refused with a correct reason, or not
+        # accepted because the listener is closed.
         self.assert_clean(calls + [c for c in late.join() if c.status])
         self.figure(streams=STREAMS, cut=0)
 
--- a/tests/process/stage_faults_test.py
+++ b/tests/process/stage_faults_test.py
@@ -1,4 +1,5 @@
-"""Backend servers do wrong; callers get whole answers or true reasons."""
+"""Tests that callers get complete answers or correct reasons when backend
+servers fail."""
 
 import threading
 import unittest
@@ -12,11 +13,12 @@
 
 
 class StageFaultsTest(ClusterTestCase):
-    # Retries are to be right here, not rare.
+    # The tests need retries, so the budget must not limit them.
     gateway_settings = {"retry_budget": 1}
 
     def stream_to_hold(self, text, fault):
-        """Holds a stream after some tokens, does the fault to its engine."""
+        """Holds a stream after HOLD_AT tokens and injects a fault into its
+        engine. Returns the calls once the stream has ended."""
         self.cluster.fault("t-engine", hold=True, hold_at=HOLD_AT)
         reached = threading.Event()
         background = caller.Background()
--- a/tests/process/storm_test.py
+++ b/tests/process/storm_test.py
@@ -1,4 +1,5 @@
-"""Faults of every kind at once and again, under load; invariants hold."""
+"""Tests that the invariants hold under load with repeated, overlapping faults
+of every kind."""
 
 import random
 import threading
@@ -27,15 +28,15 @@
         super().setUp()
         self.random = random.Random(SEED)
         self.calls, self.versions = [], []
-        self.going = True
+        self.running = True
         self.down = set()
 
     def call_all_the_time(self, index):
-        """Orders and questions to changing gateways; orders are sent again
-        under their key when the answer did not come."""
+        """Sends orders and questions to random gateways. Orders without an
+        answer are sent again with the same idempotency key."""
         source = random.Random(index)
         count = 0
-        while self.going:
+        while self.running:
             count += 1
             text = f"storm {index} {count}"
             gateway = source.randrange(self.gateways)
@@ -51,14 +52,14 @@
 
     def send(self, function, *arguments, **options):
         gateway = self.cluster.gateways[arguments[-1]]
-        life = gateway.child.pid
+        process_id = gateway.child.pid
         call = function(*arguments[:-1], gateway=arguments[-1], **options)
         call.server_killed = (gateway.name in self.down or
-                              gateway.child.pid != life)
+                              gateway.child.pid != process_id)
         self.calls.append(call)
 
     def watch_versions(self):
-        while self.going:
+        while self.running:
             for gateway in self.cluster.gateways:
                 version = self.cluster.seen_version(gateway)
                 if version:
@@ -67,7 +68,7 @@
             time.sleep(0.02)
 
     def one_fault(self, step):
-        """Does one thing wrong, and puts one earlier thing right."""
+        """Injects one fault and ends an earlier one."""
         kind = self.random.randrange(4)
         servers = [server["id"] for server in
                    self.cluster.fleet[0].fakes()]
@@ -102,7 +103,7 @@
                 self.one_fault(step)
                 time.sleep(STEP_SECONDS)
         finally:
-            self.going = False
+            self.running = False
             for thread in threads:
                 thread.join()
         self.assert_clean(self.calls, self.versions)
