--- a/bench/bench-config.cc
+++ b/bench/bench-config.cc
@@ -50,7 +50,8 @@
          Accounts(accounts) + "},\n\"pools\": {" + pools + "}}";
 }
 
-// Today's size, a tenth, and the size aimed at.
+// The size of a small deployment, a tenth of the target size, and the target
+// size.
 void ParseConfiguration(benchmark::State& state) {
   const std::string document = Document(static_cast<int>(state.range(0)),
                                         static_cast<int>(state.range(1)));
@@ -68,7 +69,7 @@
     ->ArgNames({"accounts", "servers"})
     ->Unit(benchmark::kMillisecond);
 
-// One class target changed in a document of the size aimed at.
+// Changes one class target in a document of the target size.
 void ApplyPatch(benchmark::State& state) {
   Fault fault;
   const JsonValue document = *ParseJson(Document(3500, 900), &fault);
--- a/bench/bench-control-log.cc
+++ b/bench/bench-control-log.cc
@@ -69,7 +69,7 @@
   return "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
 }
 
-/// Voters in one process, each with a folder of its own.
+/// Voters in one process, each with its own folder.
 class Cluster {
  public:
   Cluster(const fs::path& root, size_t voters) : root_(root) {
@@ -110,7 +110,7 @@
     }
   }
   void Stop(uint64_t id) { replicas_[id].reset(); }
-  /// Fails the next sync of the node, which then falls silent at once.
+  /// Makes the next sync of the node fail, which stops the node.
   void BreakDisk(uint64_t id) { broken_[id] = true; }
 
   Replica& Leader() {
@@ -133,7 +133,7 @@
   std::vector<std::unique_ptr<Replica>> replicas_;
 };
 
-/// Proposes and waits. Returns whether it was committed.
+/// Proposes a command and waits; returns whether it was committed.
 bool Commit(Replica* replica) {
   std::mutex mutex;
   std::condition_variable answered;
@@ -170,13 +170,13 @@
       voters, Quantile(times, 0.5), Quantile(times, 0.99));
 }
 
-/// Keeps a number of commands in flight for a while.
+/// Keeps a fixed number of commands in flight for kLoadTime.
 class LoadGenerator {
  public:
   LoadGenerator(Replica* replica, size_t in_flight)
       : replica_(*replica), in_flight_(in_flight) {}
 
-  /// Returns commands committed a second.
+  /// Returns the number of committed commands per second.
   double Run() {
     const auto begin = Clock::now();
     for (size_t i = 0; i < in_flight_; ++i) {
@@ -234,7 +234,7 @@
       static_cast<unsigned long long>(leader.status().sync_count_ - syncs));
 }
 
-/// The plain way: one command after the other, a sync for each.
+/// Baseline: one command after the other, each with a sync of its own.
 void PrintPlainThroughput(const fs::path& root) {
   Cluster cluster(root, 3);
   Commit(&cluster.Leader());
@@ -249,7 +249,7 @@
       static_cast<double>(done) * 1000 / MillisecondsSince(begin));
 }
 
-/// Processor time of voters that have nothing to do.
+/// Processor time of idle voters.
 void PrintIdle(const fs::path& root) {
   constexpr size_t kVoters = 3;
   Cluster cluster(root, kVoters);
--- a/bench/bench-control-state.cc
+++ b/bench/bench-control-state.cc
@@ -119,7 +119,7 @@
 }
 BENCHMARK(ApplyClaims)->Arg(1000)->Arg(100000)->Unit(benchmark::kMillisecond);
 
-// Taking a snapshot pauses the thread that commits.
+// Measures the snapshot because it pauses the thread that commits.
 void TakeSnapshot(benchmark::State& state) {
   StateMachine machine;
   FillClaims(state.range(0), &machine);
--- a/bench/bench-control.cc
+++ b/bench/bench-control.cc
@@ -60,13 +60,14 @@
   JsonValue Get(const std::string& path);
   /// Commits one change.
   void Change();
-  /// Applies a change and waits until it is in force everywhere, as the
-  /// operators see it; milliseconds.
+  /// Applies a change and waits until the administration API reports it in
+  /// force everywhere. Returns the time in milliseconds.
   double Apply();
   uint64_t Leader();
   void WatchersRun(size_t count);
   void ClaimsRun(Watchers* watchers, size_t in_flight);
-  /// Claims without a pause while `disturb` runs; adds the longest pause.
+  /// Makes claims continuously while `disturb` runs; reports the longest time
+  /// without a committed claim.
   void FailoverRun(const std::string& name,
                    Watchers* watchers,
                    const std::function<void()>& disturb);
@@ -115,7 +116,8 @@
     host_.Start(id);
   }
   Leader();
-  // Until then a node can't say that a version is in force everywhere.
+  // A node that has just started can't yet tell whether a version is in force
+  // everywhere.
   std::this_thread::sleep_for(kSettle);
   for (const size_t count : {size_t{0}, size_t{3}, size_t{30}, size_t{120}}) {
     WatchersRun(count);
--- a/bench/bench-observe.cc
+++ b/bench/bench-observe.cc
@@ -13,7 +13,7 @@
 constexpr size_t kManySeries = 100'000;
 constexpr int kAccounts = 3500;
 
-// All threads count one series: the worst case for a lock that they share.
+// All threads count the same series: the worst case for a shared lock.
 void CountOneSeries(benchmark::State& state) {
   static Metrics* metrics = nullptr;
   if (state.thread_index() == 0) {
@@ -35,7 +35,7 @@
     ->Threads(kThreads)
     ->UseRealTime();
 
-// Text for /metrics with a series for each account of the size aimed at.
+// Text for /metrics with a series for each account of the target size.
 void WriteText(benchmark::State& state) {
   Metrics metrics(kManySeries);
   for (int i = 0; i < kAccounts; ++i) {
--- a/bench/bench-path.cc
+++ b/bench/bench-path.cc
@@ -34,7 +34,7 @@
 
 constexpr double kMedian = 0.5;
 constexpr double kTail = 0.99;
-// In place of a number of tokens: the gateway refused the request.
+// Used instead of a number of tokens when the gateway refused the request.
 constexpr size_t kRefused = SIZE_MAX;
 constexpr auto kRefusedPause = std::chrono::milliseconds(20);
 constexpr uint64_t kReplyLimit = 64U << 20U;
@@ -115,8 +115,9 @@
   Link(asio::io_context* context, uint16_t port, std::string key)
       : socket_(*context), port_(port), key_(std::move(key)) {}
 
-  // Sends the call and reads the reply whole; sets when its first body byte
-  // came. Returns the number of streamed tokens, or nothing when it failed.
+  // Sends the call and reads the complete reply; sets the time of the first
+  // byte of its body. Returns the number of streamed tokens, or std::nullopt on
+  // failure.
   std::optional<size_t> Send(const Call& call,
                              const std::string& id,
                              Clock::time_point* first_byte,
@@ -244,8 +245,8 @@
   }
 
  private:
-  // Direct: ports come in groups of one a stage, and each worker takes one
-  // group. Gateway: each worker takes one port.
+  // With direct calls, the ports are groups with one port per stage, and each
+  // worker uses one group. With a gateway, each worker uses one port.
   void Work(size_t worker, const Yield& yield) {
     const size_t stages = options_.direct_ ? DirectCalls("").size() : 1;
     const size_t groups = options_.ports_.size() / stages;
--- a/bench/bench-policy-decision.cc
+++ b/bench/bench-policy-decision.cc
@@ -20,8 +20,8 @@
 constexpr int kDomains = 7;
 constexpr int kCallsPerServer = 2;
 constexpr int kPeers = 7;
-/// Time between two decisions of a gateway at the peak of 12,000 requests a
-/// second over 360 nodes.
+/// Time between two decisions of a gateway when 360 gateways serve 12,000
+/// requests per second.
 constexpr Duration kDecisionGap = milliseconds(30);
 
 PoolConfig MakePool(int servers) {
@@ -33,8 +33,8 @@
   return pool;
 }
 
-/// A router that has learned, with peers' figures and, when `overdue`, calls in
-/// flight at every server that never end.
+/// A router with learned latencies and peers' loads. With `overdue`, every
+/// server has calls in flight that never end.
 class WarmRouter {
  public:
   WarmRouter(int servers, bool overdue) : pool_(MakePool(servers)) {
@@ -66,8 +66,8 @@
   std::unique_ptr<PoolRouter> router_;
 };
 
-/// range(0): servers; range(1): microseconds between two decisions; range(2):
-/// whether every server is suspect.
+/// range(0): number of servers; range(1): microseconds between two decisions;
+/// range(2): whether every server is suspect.
 void Choose(benchmark::State& state) {
   WarmRouter warm(static_cast<int>(state.range(0)), state.range(2) != 0);
   Error error;
@@ -116,7 +116,7 @@
 }
 BENCHMARK(HedgeDelay)->Arg(900);
 
-/// range(0): client accounts in use.
+/// range(0): number of client accounts in use.
 void Admit(benchmark::State& state) {
   ClusterConfig config;
   config.classes_["chat"] = {"chat", seconds(1), seconds(4), 0.95, {}, {}};
@@ -133,7 +133,7 @@
   uint64_t accounts = 0;
   for (auto _ : state) {
     now += milliseconds(1);
-    // A third of the requests come while the pool is contended.
+    // The pool is contended for a third of the requests.
     query.expected_finish_ = milliseconds(accounts % 3 == 0 ? 3000 : 1000);
     query.account_ =
         "account-" +
--- a/bench/bench-policy.cc
+++ b/bench/bench-policy.cc
@@ -27,7 +27,7 @@
   std::string policy_;
 };
 
-/// Sums the counts over the seeds.
+/// Adds up the counts of all seeds.
 RunResult RunSeeds(const Deployment& deployment,
                    const Scenario& scenario,
                    const PolicyOptions& policy,
@@ -74,8 +74,8 @@
   for (const Bound& bound : RunShortForm(seed)) {
     all = all && bound.Holds();
     std::cout << (bound.Holds() ? "held: " : "BROKEN: ") << bound.name_ << ": "
-              << bound.value_ << ", bound " << bound.least_ << ".."
-              << bound.most_ << "\n";
+              << bound.value_ << ", bound " << bound.min_ << ".." << bound.max_
+              << "\n";
   }
   return all;
 }
--- a/bench/bench-watchers.cc
+++ b/bench/bench-watchers.cc
@@ -26,7 +26,8 @@
 
 constexpr Duration kTick = std::chrono::milliseconds(50);
 
-/// Confirms each update without restoring it: hundreds share one processor.
+/// Confirms each update without reconstructing the document, so that hundreds
+/// of watchers can share one processor.
 class Watcher {
  public:
   Watcher(boost::asio::io_context* io,
--- a/bench/control/measure.cc
+++ b/bench/control/measure.cc
@@ -49,12 +49,12 @@
   }
 }
 
-double Quantile(std::vector<double> values, double share) {
+double Quantile(std::vector<double> values, double fraction) {
   if (values.empty()) {
     return 0;
   }
   std::sort(values.begin(), values.end());
-  return values[static_cast<size_t>(share *
+  return values[static_cast<size_t>(fraction *
                                     static_cast<double>(values.size() - 1))];
 }
 
--- a/bench/control/measure.h
+++ b/bench/control/measure.h
@@ -10,21 +10,22 @@
 
 using Clock = std::chrono::steady_clock;
 
-/// Prints the reason and ends the process. Thread safe, as all of these.
+/// Prints the reason and ends the process. All functions of this header are
+/// thread safe.
 [[noreturn]] void Die(const std::string& reason);
 
 double Seconds(Clock::duration time);
 
-/// Processor time of this process so far, in seconds.
+/// Returns the processor time of this process so far, in seconds.
 double OwnCpuSeconds();
 
-/// Waits until the condition holds; gives up after a minute.
+/// Waits until the condition holds; ends the process after a minute.
 void WaitFor(const char* what, const std::function<bool()>& holds);
 
-/// Returns the value below which a share (0 to 1) of them lies; 0 for none.
-double Quantile(std::vector<double> values, double share);
+/// Returns the quantile `fraction` (0 to 1) of the values; 0 for no values.
+double Quantile(std::vector<double> values, double fraction);
 
-/// Returns a loopback "IP:port" that is free now.
+/// Returns a loopback "IP:port" without a listener.
 std::string FreeAddress();
 
 }  // namespace citronlane::bench
--- a/bench/control/node_host.cc
+++ b/bench/control/node_host.cc
@@ -38,7 +38,7 @@
   _exit(0);
 }
 
-// Serves requests until the other end closes, then ends the nodes.
+// Serves requests until the other end closes the channel, then ends the nodes.
 void Serve(int channel,
            const ControlOptions& options,
            const std::string& folder) {
--- a/bench/control/node_host.h
+++ b/bench/control/node_host.h
@@ -11,25 +11,26 @@
 
 namespace citronlane::bench {
 
-/// Runs control nodes as processes of their own. It is a process without
-/// threads that forks them, made before this one starts any. Not thread safe.
+/// Runs control nodes as separate processes. They are forked by a helper
+/// process without threads, since forking a process with threads is not safe.
+/// Not thread safe.
 class NodeHost {
  public:
-  /// Precondition: this process has one thread. `options` is that of every
-  /// node, but for its id and folder.
+  /// Starts the helper process. `options` are those of every node except for
+  /// its id and folder. Precondition: this process has only one thread.
   NodeHost(const ControlOptions& options, const std::string& folder);
-  /// Ends every node.
+  /// Ends all nodes.
   ~NodeHost();
   NodeHost(const NodeHost&) = delete;
   NodeHost& operator=(const NodeHost&) = delete;
 
   void Start(uint64_t id);
-  /// Sends a signal; after SIGKILL the node is gone.
+  /// Sends a signal to the node; after SIGKILL, returns once it has ended.
   void Signal(uint64_t id, int signal);
 
-  /// Processor time of all nodes so far, in seconds.
+  /// Returns the processor time of all nodes so far, in seconds.
   double CpuSeconds() const;
-  /// Resident memory of the largest node, in megabytes.
+  /// Returns the resident memory of the largest node, in megabytes.
   double ResidentMb() const;
 
  private:
--- a/bench/control/traffic.cc
+++ b/bench/control/traffic.cc
@@ -11,7 +11,7 @@
 namespace citronlane::bench {
 namespace {
 
-/// IPv4, TCP, and the timestamp option.
+/// Size of the IPv4 and TCP headers with the timestamp option.
 constexpr double kHeaderBytes = 52;
 
 bool IsTo(int socket, const std::set<uint16_t>& ports) {
@@ -20,7 +20,7 @@
   if (getpeername(socket, reinterpret_cast<sockaddr*>(&peer), &size) != 0) {
     return false;
   }
-  // The port stands at the same place for IPv4 and IPv6.
+  // The port has the same offset in IPv4 and IPv6 addresses.
   return ports.count(ntohs(peer.sin6_port)) > 0;
 }
 
--- a/bench/control/traffic.h
+++ b/bench/control/traffic.h
@@ -6,16 +6,16 @@
 
 namespace citronlane::bench {
 
-/// What this process's TCP connections to some ports have carried so far, both
-/// ways.
+/// Amount of data on this process's TCP connections to some ports, in both
+/// directions.
 struct Traffic {
   double payload_bytes_ = 0;
   double segments_ = 0;
 
-  /// With the IP and TCP header of each segment.
+  /// Bytes including the IP and TCP headers of each segment.
   double WireBytes() const;
 
-  /// Reads the open connections.
+  /// Reads the counts of the connections that are open now.
   static Traffic Read(const std::set<uint16_t>& ports);
 };
 
--- a/bench/control/watchers.h
+++ b/bench/control/watchers.h
@@ -13,16 +13,16 @@
 
 namespace citronlane::bench {
 
-/// Stand-ins for gateways: each is a whole ControlClient. Thread safe, but the
+/// Simulated gateways, each with a ControlClient. Thread safe except for the
 /// constructor and destructor.
 class Watchers {
  public:
   Watchers(const std::vector<std::string>& addresses, size_t count);
 
   size_t size() const { return watchers_.size(); }
-  /// Whether all have the version in force under a valid lease.
+  /// Whether all watchers use the version under a valid lease.
   bool AllHave(uint64_t version) const;
-  /// How many have no valid lease now.
+  /// Number of watchers without a valid lease.
   size_t Lapsed() const;
   ControlClient& client(size_t index) { return *watchers_[index]->client_; }
 
--- a/bench/platform_config.py
+++ b/bench/platform_config.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""What a change of the configuration costs control VMs, by routes and watchers:
-`platform_config.py [--routes 1000 10000] [--watchers 300] [--rate 10]
-[--seconds 60]`. Three control VMs run as processes of their own, without the
-platform's limits; one program stands in for all gateways. Each change gives one
-route another time limit. Prints a line of a table for each pair."""
+"""Measures the cost of configuration changes on control VMs by the numbers of
+routes and watchers: `platform_config.py [--routes 1000 10000]
+[--watchers 300] [--rate 10] [--seconds 60]`. Three control VMs run as processes
+without the platform's limits; one program simulates all gateways. Each change
+sets another timeout of one route. Prints a table row for each combination."""
 
 import argparse
 import concurrent.futures
@@ -41,7 +41,7 @@
         with open(self.out.name, "wb") as out:
             self.child = subprocess.Popen(
                 [WATCHERS, str(self.watchers)] + control, stdout=out)
-        time.sleep(3)  # All have found the leader, and hold the first version.
+        time.sleep(3)  # Until all have the first version from the leader.
 
     def send(self, version):
         index = version % len(self.document["routes"])
@@ -64,8 +64,8 @@
         time.sleep(3)
 
     def in_force(self):
-        """Seconds from the acknowledgement of each version until each watcher
-        has it or a newer one; bytes sent to all."""
+        """Returns the seconds from the acknowledgement of each version until
+        each watcher has it or a newer one, and the bytes sent to all."""
         first, sizes = {}, 0
         for line in self.out:
             version, watcher, clock, size = map(int, line.split())
@@ -80,7 +80,8 @@
         return sorted(delays), sizes
 
     def usage(self):
-        """Of each control VM: peak memory, processor time, bytes written."""
+        """Yields peak memory, processor time and bytes written of each control
+        VM."""
         for ip in self.fleet.control_ips:
             folder = f"/proc/{self.fleet.processes[ip].child.pid}"
             with open(folder + "/status", encoding="ascii") as status:
--- a/bench/platform_days.py
+++ b/bench/platform_days.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Plays days of one trouble each, or of pairs, on a deployment and prints a
-table of trouble and result. The bench's program and the site file are
+"""Runs days with one fault each, or with pairs of faults, on a deployment and
+prints a table of faults and results. The bench's program and the site file are
 arguments: `platform_days.py PROGRAM SITE [--pairs] [--only WORD] [--jobs N]`.
 Day files are written to bench/days/."""
 
@@ -16,11 +16,11 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 DAYS = os.path.join(ROOT, "bench", "days")
-# Seconds of traffic at which a trouble strikes: three moments, and the third
-# one again right after.
+# Seconds of traffic at which a fault begins: three times, and again right after
+# the third.
 MOMENTS = (3.0, 11.0, 20.0, 20.6)
 SEED = 20261202
-# Troubles that are planned work; the others are faults.
+# Faults that are planned operations.
 PLANNED = {"roll_term", "release", "scale_in", "scale_out", "config_change",
            "config_storm", "config_race", "bad_config", "big_config", "revoke",
            "hup", "seed_turnover"}
@@ -79,7 +79,7 @@
     "big_config": [{"count": 420}], "revoke": [{}, {"how": "last"}],
 }
 CLOSINGS = ("power_off_all", "wipe_after_ack", "kill_all")
-# The troubles that cost the most when they come alone.
+# The single faults with the highest cost.
 WORST = (("herd_kill", {"how": "power"}), ("core_cut", {"how": "leader"}),
          ("node_kill", {"share": 0.2, "how": "power"}),
          ("roll_term", {"share": 0.5, "how": "busy"}),
--- a/bench/platform_loss.py
+++ b/bench/platform_loss.py
@@ -1,6 +1,7 @@
 #!/usr/bin/env python3
-"""Prints where a day's credit went, from reports of the users' bench:
-`platform_loss.py REPORT...`; with --svg FILE draws the first one by time."""
+"""Prints the causes of a day's lost credit from reports of the users' bench:
+`platform_loss.py REPORT...`; --svg FILE also draws the first report over
+time."""
 
 import argparse
 import json
--- a/bench/platform_owners.py
+++ b/bench/platform_owners.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Prints how pools and their gateways fared, from the gateways' own log lines:
-`platform_owners.py LOG [--from S] [--to S] [--report REPORT]`. LOG is what a
-play with the logs of all gateways printed (time, VM and a JSON object a line);
-REPORT adds what the busiest gateway used of its processor and its link."""
+"""Prints statistics of pools and their owners from the log lines of gateways:
+`platform_owners.py LOG [--from S] [--to S] [--report REPORT]`. LOG is the
+output of a run with the logs of all gateways (time, VM and a JSON object per
+line); REPORT adds the processor and network use of the busiest gateway."""
 
 import argparse
 import collections
@@ -73,7 +73,8 @@
 
 
 def busiest(report):
-    """The report's figures of a role are pairs: mean and most of its VMs."""
+    """Returns a table of each role's highest use by one VM. A role's figures in
+    the report are pairs: mean and maximum of its VMs."""
     lines = ["", "| role | VMs | cores, most | kB/s in, most | kB/s out, most |",
              "| --- | --- | --- | --- | --- |"]
     for role, load in sorted(report["load"].items()):
--- a/bench/policy/attempt.h
+++ b/bench/policy/attempt.h
@@ -13,14 +13,14 @@
 
 class ServerModel;
 
-/// One stage call of a request, from the gateway's side.
+/// A stage call of a request, as tracked by the gateway.
 struct Attempt {
   std::shared_ptr<BackendCall> call_;
   ServerModel* server_ = nullptr;
   CallShape shape_;
   TimePoint start_{};
   bool hedge_ = false;
-  /// Known once it is over.
+  /// Set when the call ends.
   double cost_ = 0;
   bool first_byte_ = false;
   bool over_ = false;
--- a/bench/policy/backends.h
+++ b/bench/policy/backends.h
@@ -9,7 +9,7 @@
 
 namespace citronlane {
 
-/// Every backend server of a run by its id.
+/// All backend servers of a run, by id.
 using Backends = std::map<std::string, std::unique_ptr<ServerModel>>;
 
 }  // namespace citronlane
--- a/bench/policy/bound.h
+++ b/bench/policy/bound.h
@@ -5,14 +5,14 @@
 
 namespace citronlane {
 
-/// A figure and what it must come to.
+/// A measured value with its allowed range.
 struct Bound {
   std::string name_;
   double value_ = 0;
-  double least_ = 0;
-  double most_ = 0;
+  double min_ = 0;
+  double max_ = 0;
 
-  bool Holds() const { return value_ >= least_ && value_ <= most_; }
+  bool Holds() const { return value_ >= min_ && value_ <= max_; }
 };
 
 }  // namespace citronlane
--- a/bench/policy/deployment.cc
+++ b/bench/policy/deployment.cc
@@ -14,7 +14,7 @@
 constexpr double kMeanTokens = 48;
 constexpr uint32_t kMaxTokens = 128;
 constexpr double kAttainment = 0.95;
-/// Part of calls that find their prefix cached, for the capacity alone.
+/// Fraction of calls with a cached prefix; used only to compute the capacity.
 constexpr double kUsualHits = 0.5;
 constexpr double kEnginePart = 0.95;
 
@@ -91,7 +91,7 @@
   return pool.servers_ * pool.slots_ * 1e6 / us;
 }
 
-/// Fills the configuration that the pools and classes amount to.
+/// Sets the configuration that follows from the pools and classes.
 void Complete(Deployment* deployment) {
   ClusterConfig& config = deployment->config_;
   config.version_ = 1;
--- a/bench/policy/deployment.h
+++ b/bench/policy/deployment.h
@@ -11,7 +11,7 @@
 
 namespace citronlane {
 
-/// One user's sizes: what the traffic asks for and what serves it.
+/// A deployment: mix of its traffic, and the servers that serve it.
 struct Deployment {
   struct Share {
     std::string name_;
@@ -25,18 +25,19 @@
   std::vector<PoolModel> pools_;
   std::vector<Share> accounts_;
   std::vector<Share> classes_;
-  /// Pipeline of each class.
+  /// Pipeline by class.
   std::map<std::string, std::string> pipeline_of_;
   ClusterConfig config_;
-  /// Requests a second that the engines carry at full batches.
+  /// Requests per second that the engines can serve with full batches.
   double capacity_ = 0;
 
   const PoolModel& pool(const std::string& name) const;
 };
 
-/// Twelve model workers, four pools beside them, three failure domains.
+/// A deployment with twelve model workers, four other pools and three failure
+/// domains.
 Deployment MakeQurak();
-/// Eighteen model workers and a large share of batch work.
+/// A deployment with eighteen model workers and much batch work.
 Deployment MakeBrazos();
 
 }  // namespace citronlane
--- a/bench/policy/event_queue.h
+++ b/bench/policy/event_queue.h
@@ -11,15 +11,15 @@
 
 namespace citronlane {
 
-/// Runs actions in the order of their time, then of their arrival. Not thread
-/// safe.
+/// Event queue of a simulation: runs actions in the order of their time, those
+/// with the same time in the order of insertion. Not thread safe.
 class EventQueue {
  public:
   using Action = std::function<void()>;
 
   TimePoint now() const { return now_; }
 
-  /// `when` must not lie before now().
+  /// `when` must not be before now().
   void At(TimePoint when, Action action) {
     events_.push_back({when, next_++, std::move(action)});
     std::push_heap(events_.begin(), events_.end(), Later);
@@ -28,7 +28,7 @@
     At(now_ + delay, std::move(action));
   }
 
-  /// Runs everything up to `end`; later events stay.
+  /// Runs all events up to and including `end`; later ones stay queued.
   void Run(TimePoint end) {
     while (!events_.empty() && events_.front().when_ <= end) {
       std::pop_heap(events_.begin(), events_.end(), Later);
--- a/bench/policy/fault.h
+++ b/bench/policy/fault.h
@@ -7,20 +7,20 @@
 
 namespace citronlane {
 
-/// Something that goes wrong, or is done, at one time of a scenario.
+/// A fault or a maintenance operation at one time of a scenario.
 struct Fault {
   enum class Kind {
-    /// The servers are slower by `factor_` until the end.
+    /// The servers are slower by `factor_` until `end_`.
     kSlow,
-    /// The servers stop mid-work and never answer.
+    /// The servers stop during calls and never reply.
     kStop,
-    /// The servers answer every call at once with an error.
+    /// The servers reply to every call with an error at once.
     kErrors,
-    /// The servers refuse connections; a restart ends it.
+    /// The servers refuse connections until they restart.
     kDown,
-    /// A failure domain is silent, with its gateways; a restart ends it.
+    /// No server or gateway of a failure domain responds until they restart.
     kDomainLoss,
-    /// The pool's servers leave, drain and restart one by one.
+    /// The pool's servers drain and restart one by one.
     kRollingRestart,
   };
 
@@ -28,7 +28,8 @@
   Duration begin_{};
   Duration end_{};
   std::string pool_;
-  /// First server and number of servers; for a domain its index.
+  /// Index of the first server, or of the failure domain, and number of
+  /// servers.
   int first_ = 0;
   int count_ = 1;
   double factor_ = 1;
--- a/bench/policy/gateway_attempts.cc
+++ b/bench/policy/gateway_attempts.cc
@@ -46,7 +46,7 @@
         std::max(1U, run->spec_->tokens_ -
                          std::min(run->tokens_done_, run->spec_->tokens_));
   }
-  // The actions refer back weakly: a call must not keep its own owner alive.
+  // The hooks hold the attempt weakly, since it owns the call that has them.
   const std::weak_ptr<Attempt> weak = attempt;
   const auto later = [this, run, weak, distance](auto action) {
     queue_->After(distance, [this, run, weak, action] {
@@ -180,7 +180,7 @@
   for (const AttemptPtr& attempt : run->attempts_) {
     if (attempt != kept && !attempt->over_) {
       Close(run, attempt, CallOutcome::kCancelled);
-      // With one kept, either the hedge or what it replaced was for nothing.
+      // When another attempt is kept, the cost of this one is that of hedging.
       result_->hedge_cost_ += kept ? attempt->cost_ : 0;
     }
   }
--- a/bench/policy/gateway_model.cc
+++ b/bench/policy/gateway_model.cc
@@ -13,7 +13,7 @@
 
 constexpr Duration kSameDomain = std::chrono::microseconds(100);
 constexpr double kSplitQuantile = 0.95;
-/// Tokens assumed for the cost of a request before it has run.
+/// Number of tokens by which the cost of a request is estimated.
 constexpr double kUsualTokens = 48;
 
 RouterOptions OptionsAt(RouterOptions options, int domain) {
--- a/bench/policy/gateway_model.h
+++ b/bench/policy/gateway_model.h
@@ -20,8 +20,8 @@
 
 namespace citronlane {
 
-/// One gateway: drives the project's decisions over modelled servers. Borrows
-/// all it is given. Not thread safe.
+/// A gateway that applies the project's policies to simulated servers. All
+/// pointers and references must outlive it. Not thread safe.
 class GatewayModel {
  public:
   GatewayModel(std::string name,
@@ -33,12 +33,12 @@
                const Backends* backends,
                RunResult* result);
 
-  /// A caller's request; counted when `measured`.
+  /// Handles a caller's request, which is counted if `measured`.
   void Arrive(const RequestSpec& spec, bool measured);
-  /// The gateway is gone, with every request it had.
+  /// Ends the gateway with all of its requests.
   void Lose();
 
-  /// Engine time counts between these.
+  /// Sets the interval in which engine time is counted.
   void SetWindow(TimePoint from, TimePoint to) {
     window_from_ = from;
     window_to_ = to;
@@ -49,7 +49,8 @@
   PoolRouter& router(const std::string& pool) {
     return pools_.at(pool)->router_;
   }
-  /// Calls this gateway has at the server now, for its peers.
+  /// Returns the number of this gateway's calls in flight at the server, which
+  /// is reported to its peers.
   double InFlightAt(const std::string& server) const;
 
  private:
@@ -65,7 +66,7 @@
   Duration TargetLeft(const RequestRun& run) const;
   StageTime TimeOfStage(const RequestRun& run);
 
-  /// Tells the pools of the stages from `stage` on what is planned.
+  /// Adds `calls` planned calls to the pools of the stages from `stage` on.
   void Plan(const RequestRun& run, size_t stage, int calls);
   void BeginStage(const RunPtr& run);
   AttemptPtr Launch(const RunPtr& run, bool hedge);
@@ -81,7 +82,7 @@
   void OnStageDone(const RunPtr& run);
   void OnFailure(const RunPtr& run, CallOutcome outcome);
   bool TryAgain(const RunPtr& run, CallOutcome outcome);
-  /// Accounts for the end of a call; the reply itself is not looked at.
+  /// Records the end of a call, whatever its reply.
   void Close(const RunPtr& run, const AttemptPtr& attempt, CallOutcome outcome);
   void CancelOthers(const RunPtr& run, const AttemptPtr& kept);
   void Finish(const RunPtr& run, bool answered, const std::string& failure);
--- a/bench/policy/policy_options.h
+++ b/bench/policy/policy_options.h
@@ -9,27 +9,28 @@
 
 namespace citronlane {
 
-/// Which mechanisms a run uses.
+/// Mechanisms that a run uses.
 struct PolicyOptions {
   std::string name_;
   RouterOptions router_;
   AdmissionOptions admission_;
   bool admits_all_ = false;
-  /// Gateways tell each other their calls in flight.
+  /// Whether gateways report their calls in flight to each other.
   bool peer_loads_ = true;
-  /// Engines are told how urgent a call is.
+  /// Whether calls to engines have a priority.
   bool priorities_ = true;
   bool hedge_ = true;
   bool deadline_split_ = true;
-  /// Broken and stalled streams go on at another server.
+  /// Whether broken and stalled streams are continued at another server.
   bool continue_streams_ = true;
 };
 
-/// The project's policy with everything on.
+/// Returns the project's policy with all mechanisms.
 PolicyOptions ProjectPolicy();
-/// Round robin and least in-flight: no admission, no hedges, no levers.
+/// Returns round robin and least in-flight, without admission control, hedging
+/// and the other mechanisms.
 std::vector<PolicyOptions> BaselinePolicies();
-/// The project's policy with one lever off each.
+/// Returns the project's policy without one mechanism, for each of them.
 std::vector<PolicyOptions> LeverPolicies();
 
 }  // namespace citronlane
--- a/bench/policy/pool_model.h
+++ b/bench/policy/pool_model.h
@@ -8,21 +8,22 @@
 
 namespace citronlane {
 
-/// How the servers of one pool take time, for ServerModel.
+/// Service times of the servers of a pool, for ServerModel.
 struct PoolModel {
   std::string name_;
   StageKind kind_ = StageKind::kService;
   int servers_ = 1;
-  /// Calls a server works on at once; the others queue.
+  /// Number of calls that a server runs concurrently; others are queued.
   int slots_ = 1;
   bool reports_load_ = true;
-  /// Mean time of a call; for engines the time to read the prompt.
+  /// Mean time of a call; for engines, of processing the prompt.
   Duration call_time_{};
-  /// Engines: time of a token with one call, and its growth with each more.
+  /// Engines: time per token with one call, and its increase for each further
+  /// concurrent call.
   Duration token_time_{};
   double token_time_growth_ = 0;
-  /// Engines: part of the reading time left when the prefix is cached, and
-  /// cached prefixes of a server.
+  /// Engines: fraction of the prompt's processing time that remains when the
+  /// prefix is cached, and number of prefixes that a server caches.
   double hit_part_ = 1;
   int cached_prefixes_ = 0;
   double cost_per_call_ = 0;
--- a/bench/policy/pool_policy.h
+++ b/bench/policy/pool_policy.h
@@ -8,7 +8,7 @@
 
 namespace citronlane {
 
-/// The decisions of one gateway for one pool.
+/// Routing, hedging and retry policy of a gateway for one pool.
 struct PoolPolicy {
   PoolPolicy(const PoolConfig& pool,
              const RouterOptions& options,
--- a/bench/policy/report.h
+++ b/bench/policy/report.h
@@ -8,11 +8,11 @@
 
 namespace citronlane {
 
-/// Writes one table for each deployment: scenario and policy a row.
+/// Writes a table for each deployment, with a row for each scenario and policy.
 void WriteMarkdown(absl::Span<const RunResult> results, std::ostream* out);
 
-/// Writes everything that was counted as JSON, one entry a run in the shape of
-/// Google Benchmark's: a name and figures.
+/// Writes all counts as JSON in the format of Google Benchmark, with an entry
+/// for each run.
 void WriteJson(absl::Span<const RunResult> results, std::ostream* out);
 
 }  // namespace citronlane
--- a/bench/policy/request_run.h
+++ b/bench/policy/request_run.h
@@ -20,7 +20,8 @@
   bool measured_ = false;
   AdmissionQuery query_;
   size_t stage_ = 0;
-  /// Rises with each stage, so that late timers can tell.
+  /// Increases with each stage, so that timers of earlier stages can be
+  /// ignored.
   uint32_t calls_ = 0;
   std::vector<std::shared_ptr<Attempt>> attempts_;
   std::vector<std::string> tried_;
--- a/bench/policy/request_spec.h
+++ b/bench/policy/request_spec.h
@@ -12,19 +12,19 @@
 struct ClassConfig;
 struct PipelineConfig;
 
-/// One request of the traffic, the same for every policy.
+/// A request of the traffic, which is the same for every policy.
 struct RequestSpec {
   TimePoint arrival_{};
-  /// Draws the gateway, whichever are up.
+  /// Random number that chooses one of the gateways that are up.
   uint64_t gateway_draw_ = 0;
   std::string account_;
   const ClassConfig* class_ = nullptr;
   const PipelineConfig* pipeline_ = nullptr;
   uint64_t prefix_ = 0;
-  /// Tokens the engine will generate, and the largest number asked for.
+  /// Number of tokens that the engine generates, and requested maximum.
   uint32_t tokens_ = 0;
   uint32_t max_tokens_ = 0;
-  /// Time of each stage relative to its pool's mean.
+  /// Service time of each stage relative to its pool's mean.
   std::vector<double> work_;
 };
 
--- a/bench/policy/run_result.h
+++ b/bench/policy/run_result.h
@@ -10,12 +10,13 @@
 
 namespace citronlane {
 
-/// What one run came to. Requests of the measured time only, but for the calls.
+/// Result of a run. Requests are counted in the measured interval only, calls
+/// in the whole run.
 struct RunResult {
   std::string deployment_;
   std::string scenario_;
   std::string policy_;
-  /// Interactive requests; by class and by account likewise.
+  /// Interactive requests: all, by class and by account.
   Tally interactive_;
   std::map<std::string, Tally> by_class_;
   std::map<std::string, Tally> by_account_;
@@ -23,21 +24,22 @@
   std::map<std::string, uint64_t> failures_;
   std::map<std::string, uint64_t> hedges_;
   std::map<std::string, uint64_t> retries_;
-  /// Cost by pool of all calls, hedges and retries included.
+  /// Cost of all calls by pool, including hedges and retries.
   std::map<std::string, double> cost_by_stage_;
   double hedge_cost_ = 0;
   uint64_t first_calls_ = 0;
   uint64_t hedge_calls_ = 0;
   uint64_t retry_calls_ = 0;
-  /// Engine time of requests that met their target, over the engines' slot time
-  /// in the measured time.
+  /// Engine time of the requests that met their target, and slot time of the
+  /// engines in the measured interval.
   Duration useful_engine_time_{};
   Duration engine_time_{};
 
   /// Adds the counts of another run of the same scenario and policy.
   void Add(const RunResult& other);
 
-  /// Share of the small accounts' requests that met their target, of offered.
+  /// Ratio of the small accounts' requests that met their target to those
+  /// offered.
   double SmallAccounts() const;
   double Cost() const;
   double Goodput() const;
--- a/bench/policy/scenario.cc
+++ b/bench/policy/scenario.cc
@@ -11,10 +11,10 @@
 constexpr double kBurst = 5;
 constexpr double kOverload = 3;
 constexpr double kFlood = 8;
-/// Load before a burst of five times, as in a quiet hour.
+/// Load of a quiet hour, before a burst of five times as much.
 constexpr double kQuietLoad = 0.4;
 constexpr double kBusyLoad = 0.9;
-/// Slow-down of a whole pool.
+/// Slow-down factor of a pool in a brownout.
 constexpr double kBrownout = 3;
 constexpr Duration kFaultFrom = seconds(10);
 constexpr Duration kFaultTo = seconds(20);
--- a/bench/policy/scenario.h
+++ b/bench/policy/scenario.h
@@ -17,19 +17,19 @@
   Duration length_ = std::chrono::seconds(30);
   Duration measure_from_ = std::chrono::seconds(10);
   Duration measure_to_ = std::chrono::seconds(22);
-  /// Load outside and inside the burst, in parts of the capacity.
+  /// Load outside and inside the burst, as a fraction of the capacity.
   double load_ = 0.7;
   double burst_load_ = 0.7;
   Duration burst_from_ = std::chrono::seconds(10);
   Duration burst_to_ = std::chrono::seconds(20);
-  /// Account whose traffic alone grows in the burst, or is left out when the
-  /// factor is 0.
+  /// Account whose traffic is multiplied by `account_factor_` in the burst; for
+  /// factor 0 it has no traffic in the whole run.
   std::string account_;
   double account_factor_ = 1;
   std::vector<Fault> faults_;
 };
 
-/// Every scenario of the bench, by the names of the deployment's pools.
+/// Returns all scenarios of the bench for the deployment.
 std::vector<Scenario> MakeScenarios(const Deployment& deployment);
 
 }  // namespace citronlane
--- a/bench/policy/server_model.cc
+++ b/bench/policy/server_model.cc
@@ -6,7 +6,7 @@
 namespace citronlane {
 namespace {
 
-/// A restarted server is this much slower until it is warm.
+/// Slow-down factor of a restarted server until it is warm.
 constexpr double kColdFactor = 3;
 constexpr Duration kWarmUp = std::chrono::seconds(4);
 
--- a/bench/policy/server_model.h
+++ b/bench/policy/server_model.h
@@ -19,13 +19,13 @@
 
 namespace citronlane {
 
-/// Service times of one backend server: slots, a queue by
-/// priority, batches that slow each other down, a prefix cache, and
-/// faults. Not thread safe.
+/// Simulated backend server with slots, a queue by priority, batches whose
+/// calls slow each other down, a prefix cache, and faults. Not thread safe.
 class ServerModel {
  public:
   using CallPtr = std::shared_ptr<BackendCall>;
-  /// A cache event, as it happens: sequence, prefix, stored or dropped.
+  /// Called for each cache event: sequence number, prefix, and whether it was
+  /// stored (else evicted).
   using CacheHook = std::function<void(uint64_t, uint64_t, bool)>;
 
   ServerModel(const PoolModel& pool,
@@ -34,19 +34,19 @@
               EventQueue* queue,
               CacheHook on_cache);
 
-  /// A call arrives; it is refused at once when the server is down or drains.
+  /// Starts or queues a call; refuses it when the server is down or draining.
   void Submit(const CallPtr& call);
   void Cancel(const CallPtr& call);
 
   void SetSlow(double factor) { slow_ = factor; }
-  /// Every new call ends at once with an error.
+  /// Makes every new call end at once with an error.
   void SetErrors(bool errors) { errors_ = errors; }
-  /// Stops mid-work: keeps accepting and never answers.
+  /// Freezes the server: it accepts calls but never replies.
   void Stop();
-  /// The process ends; connections are refused or, when `silent`, time out.
+  /// Ends the process: connections are refused or, if `silent`, time out.
   void Crash(bool silent);
   void Drain() { draining_ = true; }
-  /// A new process with a cold cache, slow for a while.
+  /// Starts a new process with a cold cache, which is slow until warm.
   void Restart();
 
   const std::string& id() const { return id_; }
@@ -58,7 +58,7 @@
   bool idle() const { return running_.empty() && waiting() == 0; }
   size_t load() const { return running_.size() + waiting(); }
 
-  /// Makes the present load the one that replies report.
+  /// Sets the load that replies report to the current one.
   void PublishLoad();
   size_t published_load() const { return published_load_; }
   TimePoint published_at() const { return published_at_; }
@@ -77,7 +77,7 @@
   EventQueue* const queue_;
   const CacheHook on_cache_;
   std::vector<CallPtr> running_;
-  /// Calls that wait, by priority.
+  /// Queued calls by priority.
   std::array<std::deque<CallPtr>, kCallPriorities> queues_;
   std::list<uint64_t> cached_;
   uint64_t cache_sequence_ = 0;
--- a/bench/policy/simulation.cc
+++ b/bench/policy/simulation.cc
@@ -12,14 +12,14 @@
 constexpr Duration kExchangeInterval = milliseconds(200);
 constexpr Duration kExchangeLag = milliseconds(50);
 constexpr Duration kCacheEventLag = milliseconds(500);
-/// One cache event in this many is lost.
+/// One of this many cache events is lost.
 constexpr uint64_t kCacheEventLoss = 50;
-/// What the platform's list lags behind.
+/// Delay of the platform's server list.
 constexpr Duration kListLag = seconds(2);
 constexpr Duration kDownTime = seconds(1);
 constexpr Duration kDrainCheck = milliseconds(100);
 constexpr Duration kRestartInterval = seconds(4);
-/// Time the balancer takes to notice a lost gateway.
+/// Time after which the load balancer notices a lost gateway.
 constexpr Duration kBalancerLag = milliseconds(500);
 
 }  // namespace
@@ -158,7 +158,7 @@
   for (ServerModel* server : Targets(fault)) {
     queue_.At(TimePoint(begin), [this, server, pool = fault.pool_] {
       const uint64_t leaving = server->incarnation();
-      // The platform's mark comes first; the list and the drain follow.
+      // The platform marks the server first; the list and the drain follow.
       queue_.After(kListLag, [this, server, pool, leaving] {
         OnAllRouters(pool, [&](PoolRouter* router) {
           router->OnLeaving(server->id(), leaving, queue_.now());
@@ -189,7 +189,7 @@
       }
     }
   });
-  // Its gateways are gone as well; callers find the others after the lag.
+  // Its gateways are lost too; the load balancer uses the others after a lag.
   for (size_t i = 0; i < gateways_.size(); ++i) {
     if (static_cast<int>(i) % deployment_.domains_ == fault.first_) {
       queue_.At(TimePoint(fault.begin_ + kBalancerLag),
--- a/bench/policy/simulation.h
+++ b/bench/policy/simulation.h
@@ -17,8 +17,8 @@
 
 namespace citronlane {
 
-/// One run of a scenario under a policy: gateways, servers, faults, and what
-/// gateways tell each other. Use once. Not thread safe.
+/// Simulates a scenario with a policy: gateways, servers, faults, and the loads
+/// that gateways report to each other. For a single use. Not thread safe.
 class Simulation {
  public:
   Simulation(const Deployment& deployment,
--- a/bench/policy/tally.h
+++ b/bench/policy/tally.h
@@ -5,12 +5,12 @@
 
 namespace citronlane {
 
-/// Requests of one kind by how they went.
+/// Numbers of requests of one kind by their result.
 struct Tally {
   uint64_t offered_ = 0;
   uint64_t admitted_ = 0;
   uint64_t met_ = 0;
-  /// Admitted and never answered in full.
+  /// Admitted, but without a complete response.
   uint64_t failed_ = 0;
 
   void Add(const Tally& other) {
@@ -20,9 +20,10 @@
     failed_ += other.failed_;
   }
 
-  /// Share that met the target, of all offered: a refusal is a miss.
+  /// Ratio of requests that met the target to those offered; a refusal counts
+  /// as a miss.
   double OfOffered() const { return Share(met_, offered_); }
-  /// The same of the admitted ones alone.
+  /// Ratio of requests that met the target to those admitted.
   double OfAdmitted() const { return Share(met_, admitted_); }
 
  private:
--- a/bench/policy/traffic.cc
+++ b/bench/policy/traffic.cc
@@ -10,7 +10,8 @@
 constexpr double kMeanTokensOverFewest = 41;
 constexpr uint32_t kFewestTokens = 8;
 constexpr uint32_t kMostTokens = 128;
-/// Prompts share this many prefixes, the first ones the most.
+/// Number of different prefixes of the prompts; the first ones are most
+/// frequent.
 constexpr int kPrefixes = 240;
 constexpr double kPrefixSkew = 2;
 constexpr double kWorkSpread = 0.35;
@@ -24,13 +25,13 @@
     return at >= scenario_.burst_from_ && at < scenario_.burst_to_;
   }
 
-  /// Requests a second, accounts' own growth left out.
+  /// Requests per second without the growth of a single account.
   double Rate(Duration at) const {
     const double load = InBurst(at) ? scenario_.burst_load_ : scenario_.load_;
     return load * deployment_.capacity_;
   }
 
-  /// Growth of the total by the account that grows.
+  /// Factor by which the growing account increases the total rate.
   double Growth(Duration at) const {
     return 1 + AccountPart() * (AccountFactor(at) - 1);
   }
@@ -73,7 +74,7 @@
   }
 
   double AccountFactor(Duration at) const {
-    // An account left out is left out from the start.
+    // Factor 0 removes the account's traffic from the whole run.
     const bool applies = InBurst(at) || scenario_.account_factor_ == 0;
     return applies ? scenario_.account_factor_ : 1;
   }
--- a/bench/policy/traffic.h
+++ b/bench/policy/traffic.h
@@ -10,8 +10,9 @@
 
 namespace citronlane {
 
-/// Draws the requests of a scenario, in the order they arrive. The result
-/// refers to the deployment. The same seed gives the same traffic.
+/// Generates the requests of a scenario in the order of their arrival. The same
+/// seed gives the same traffic. The result has pointers into the deployment,
+/// which must outlive it.
 std::vector<RequestSpec> MakeTraffic(const Deployment& deployment,
                                      const Scenario& scenario,
                                      uint64_t seed);
--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -27,8 +27,8 @@
 GATEWAY_THREADS = 4
 FAKE_THREADS = 4
 ROUNDS = 3
-# In flight, milliseconds that each stage takes, requests a round. Stages take
-# time so that what is measured is the gateway and not a queue for processors.
+# Requests in flight, milliseconds per stage, requests per round. Stages wait
+# so that the gateway is measured and not the queueing for processors.
 LATENCY_RUNS = ((1, 0, 1000), (32, 5, 2000), (256, 40, 4000))
 THROUGHPUT_IN_FLIGHT = 64
 THROUGHPUT_REQUESTS = 12000
@@ -48,7 +48,7 @@
 
 
 class PathBench:
-    """A gateway before fakes, against calling the fakes directly."""
+    """Compares calls through a gateway with direct calls to the fakes."""
 
     def __init__(self, cluster):
         self.cluster = cluster
@@ -71,7 +71,8 @@
         return json.loads(done.stdout)
 
     def latency(self, in_flight, stage_ms, requests):
-        """Medians over rounds that alternate between both ways."""
+        """Returns medians of rounds that alternate between direct calls and
+        calls through the gateway."""
         self.cluster.fault("*", slow_ms=stage_ms)
         self.drive(False, in_flight, requests // 4)
         rounds = [(self.drive(True, in_flight, requests),
@@ -137,7 +138,8 @@
 
 
 def value_at(results, path):
-    """Follows a path as "path/latency/0/p50_us/ratio"; names may hold "/"."""
+    """Returns the value at a path like "path/latency/0/p50_us/ratio"; names may
+    contain "/"."""
     if not path:
         return results
     if isinstance(results, list):
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,4 +1,5 @@
-"""Drives the demo: both deployments on real processes, every answer checked."""
+"""Runs the demo: requests of both deployments to real processes. Every answer
+is checked."""
 
 import argparse
 import collections
@@ -16,7 +17,7 @@
 from process.cluster import Cluster
 
 SHOWN = 44
-# Account, pipeline, text, streamed, key of a request that runs once.
+# Account, pipeline, text, whether streamed, idempotency key if it runs once.
 REQUESTS = [
     ("sellers", "qurak-bundle-listing",
      "Lot 7713: 14 m cotton ends, 3 kg linen offcuts, dyed 2026", False, None),
@@ -53,7 +54,7 @@
 
 
 def send_all(cluster, with_control):
-    """Sends every request, each through the next gateway."""
+    """Sends all requests, to the gateways in turn."""
     calls = []
     for account, pipeline, text, stream, key in REQUESTS:
         if key and not with_control:
@@ -74,21 +75,22 @@
 
 
 def resend(cluster, calls):
-    """Sends the requests that run once again, each to another gateway."""
+    """Resends the requests with an idempotency key, each to another gateway
+    than before."""
     again = []
     for account, pipeline, text, stream, key in REQUESTS:
         if key:
             index = [call.text for _, call in calls].index(text) + 1
-            way = cluster.caller(index % len(cluster.gateways), account)
-            call = way.chat(pipeline, text, deployments.TOKENS, stream,
-                            pipeline.split("-")[0] + "-engine", key)
+            client = cluster.caller(index % len(cluster.gateways), account)
+            call = client.chat(pipeline, text, deployments.TOKENS, stream,
+                               pipeline.split("-")[0] + "-engine", key)
             again.append((pipeline, call))
             show(pipeline + " (again)", call)
     return again
 
 
 def show(target, call):
-    # A whole answer says that its request ran.
+    # A complete answer implies that the request ran.
     outcome = "whole, ran" if call.whole else f"{call.reason} {call.verdict}"
     milliseconds = (call.ended - call.sent) * 1000
     answer = call.answer.strip()
@@ -165,7 +167,7 @@
                            help="leave everything running")
     arguments.add_argument("--controls", type=int, default=3)
     options = arguments.parse_args()
-    # Also when it runs in the background, where SIGINT is ignored.
+    # Also set for SIGINT, which is ignored in background processes.
     for number in (signal.SIGINT, signal.SIGTERM):
         signal.signal(number, stop)
     cluster = Cluster([deployments.qurak(), deployments.brazos()],
--- a/scripts/generate-proto.sh
+++ b/scripts/generate-proto.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Renews the committed code generated from proto/*.proto.
+# Regenerates the committed code from proto/*.proto.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 protoc -I proto --cpp_out=proto/generated --grpc_out=proto/generated \
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -10,7 +10,7 @@
 mapfile -t sources < <(git ls-files '*.cc' | grep -v '^proto/')
 printf '%s\0' "${sources[@]}" |
   xargs -0 -n 2 -P "$(nproc)" clang-tidy --quiet -p "$build" 2>/dev/null
-# The provider's names stay in platform/ and deploy/.
+# The provider's names are allowed in platform/ and deploy/ only.
 if git grep -nIiF -f platform/provider-words.txt -- src include proto/*.proto; then
   echo "lint: names of the provider outside platform/ and deploy/"
   exit 1
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -1,9 +1,9 @@
-"""Runs the proof of each line of the brief and prints one line for each.
+"""Runs the tests of each guarantee and prints a line for each.
 
-PROVED <point>: <tests that passed>, <figures they measured>
-UNPROVED <point>: <tests that failed or are not there>
+PROVED <guarantee>: <tests that passed>, <figures they measured>
+UNPROVED <guarantee>: <tests that failed or do not exist>
 
-With --check it only looks whether every named test is there.
+With --check it only checks that all named tests exist.
 """
 
 import json
@@ -24,8 +24,8 @@
 RECOVERY = "recovery_test.RecoveryTest.test_"
 STORM = "storm_test.StormTest.test_"
 
-# Point, tests. "unit-x" alone runs that whole program, "unit-x: name" one of
-# its test cases; everything else is a test on real processes.
+# Guarantee, tests. "unit-x" runs all test cases of that program, "unit-x: name"
+# one of them; other names are tests with real processes.
 ALWAYS = [
     ("no stage result is lost, doubled or handed to another request", [
         FAULTS + "late_and_out_of_order_answers_reach_their_own_callers",
@@ -108,7 +108,7 @@
 
 PLATFORM = "platform_test."
 
-# The rules of the users' platform, by their names there.
+# The rules of the users' platform, with their names in its documents.
 RULES = [
     ("MIXED: an answer is a server's own, whole, and its request's", [
         PLATFORM + "RequestTest.test_stages_and_stream",
@@ -204,7 +204,7 @@
 
 
 class Outcomes(unittest.TestResult):
-    """Notes each test's end under "<module>.<class>.<test>"."""
+    """Records the result of each test under "<module>.<class>.<test>"."""
 
     def __init__(self):
         super().__init__()
@@ -230,7 +230,7 @@
 
 
 def run_process_tests(names, figures_path):
-    """Runs the named tests; returns {test: "" or why it failed}."""
+    """Runs the named tests; returns {test: "" or reason of the failure}."""
     os.environ["CITRONLANE_FIGURES"] = figures_path
     sys.path.insert(0, TESTS)
     outcomes = Outcomes()
@@ -248,7 +248,8 @@
 
 
 def run_unit(name):
-    """Runs a test program or one of its cases; returns why it failed, or ""."""
+    """Runs a test program or one of its cases; returns the reason of its
+    failure, or ""."""
     program, _, case = name.partition(": ")
     path = os.path.join(BUILD, "tests", program)
     if not os.path.exists(path):
@@ -263,7 +264,7 @@
 
 
 def missing(tests):
-    """Returns the named tests that are not there, without running any."""
+    """Returns the named tests that do not exist, without running any."""
     sys.path.insert(0, TESTS)
     gone = []
     for test in sorted(tests):
@@ -295,7 +296,7 @@
 
 
 def show(point, tests, outcomes, figures):
-    """Prints the point's line; returns whether it is proved."""
+    """Prints the line of a guarantee; returns whether it is proved."""
     bad = [f"{test} {outcomes[test]}" for test in tests if outcomes[test]]
     if bad:
         print(f"UNPROVED {point}: {'; '.join(bad)}")
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs, builds, checks format and lint, then runs every test but those that
-# KNOWN-RED.txt lists, which it prints.
+# Installs, builds, checks format and lint, then runs all tests except those
+# listed in KNOWN-RED.txt, which it prints.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bash scripts/setup.sh
