--- a/include/citronlane/control/detail/command_proposer.h
+++ b/include/citronlane/control/detail/command_proposer.h
@@ -32,8 +32,8 @@
 
   /// Starts cluster time at `time_ms` as of `now`. Call when this node leads
   /// and has applied everything from before its term.
-  void OnLead(uint64_t time_ms, TimePoint now);
-  void OnLeadLost();
+  void OnLeadershipGained(uint64_t time_ms, TimePoint now);
+  void OnLeadershipLost();
   bool leads() const;
 
   /// Cluster time in milliseconds; nullopt while this node does not lead.
@@ -43,7 +43,7 @@
   /// within this call, or on the replica's thread.
   void Propose(wire::StateCommand command, Done done);
 
-  /// Proposes a command without a cluster time, also before OnLead.
+  /// Proposes a command without a cluster time, also before OnLeadershipGained.
   void ProposeFirst(const wire::StateCommand& command, Done done);
 
   /// Proposes a command and waits for its result, at most `limit`. Returns
--- a/include/citronlane/control/detail/control_metrics.h
+++ b/include/citronlane/control/detail/control_metrics.h
@@ -8,7 +8,7 @@
 namespace citronlane {
 
 class ControlState;
-struct ConfigSpread;
+struct ConfigPropagation;
 
 /// Returns a control VM's metrics in the Prometheus text format. Thread safe.
 std::string ControlMetricsText(const ReplicaStatus& status,
@@ -16,7 +16,7 @@
 
 /// Returns the metrics of a control VM with a GatewayFeed in the Prometheus
 /// text format. Thread safe.
-std::string FeedMetricsText(bool leads, const ConfigSpread& propagation);
+std::string FeedMetricsText(bool leads, const ConfigPropagation& propagation);
 
 }  // namespace citronlane
 
--- a/include/citronlane/control/detail/order_dispatcher.h
+++ b/include/citronlane/control/detail/order_dispatcher.h
@@ -31,8 +31,8 @@
                   CommandProposer* proposer,
                   LeaseHook has_lease);
 
-  void OnLead(uint64_t number, TimePoint now);
-  void OnLeadLost();
+  void OnLeadershipGained(uint64_t number, TimePoint now);
+  void OnLeadershipLost();
 
   /// Starts at most one order. Called periodically by the leader's thread.
   void Work();
--- a/include/citronlane/control/gateway_feed.h
+++ b/include/citronlane/control/gateway_feed.h
@@ -90,13 +90,13 @@
   /// be disconnected.
   bool IsHeldByAll(uint64_t version, TimePoint now) const;
   /// Propagation of the newest version among the watching gateways.
-  ConfigSpread Propagation() const;
+  ConfigPropagation Propagation() const;
 
  private:
   struct Watcher;
 
   void UpdatePoolAssignment(TimePoint now);
-  std::vector<PoolPart> Partitions() const;
+  std::vector<PoolPartition> Partitions() const;
   void Push(Watcher* watcher, TimePoint now);
   void RecordNewestConfig(TimePoint now);
   void AddConfig(Watcher* watcher,
--- a/include/citronlane/fleet/config_spread.h
+++ b/include/citronlane/fleet/config_spread.h
@@ -6,7 +6,7 @@
 namespace citronlane {
 
 /// Propagation of the newest configuration to the gateways.
-struct ConfigSpread {
+struct ConfigPropagation {
   uint64_t newest_ = 0;
   /// Lowest version held by a gateway; 0 when some gateway holds none.
   uint64_t lowest_ = 0;
--- a/include/citronlane/fleet/in_force_tracker.h
+++ b/include/citronlane/fleet/in_force_tracker.h
@@ -29,9 +29,7 @@
   void OnRegistered(std::string_view gateway, uint64_t incarnation);
   /// Records the removal of a gateway. It may hold its lease for one more
   /// lease's length.
-  void OnForgotten(std::string_view gateway,
-                   uint64_t incarnation,
-                   TimePoint now);
+  void OnRemoved(std::string_view gateway, uint64_t incarnation, TimePoint now);
   /// Records a committed version. Leases on older ones end a lease's length
   /// after `now`.
   void OnCommitted(uint64_t version, TimePoint now);
--- a/include/citronlane/fleet/pool_assignment.h
+++ b/include/citronlane/fleet/pool_assignment.h
@@ -23,11 +23,11 @@
 class PoolAssignment {
  public:
   /// Endpoint of the owner of each partition.
-  using Owners = std::map<PoolPart, std::string>;
+  using Owners = std::map<PoolPartition, std::string>;
 
   /// Partitions of `service` among the keys of `owners`, in order. Thread safe.
-  static std::vector<PoolPart> PartsAmong(const Owners& owners,
-                                          const std::string& service);
+  static std::vector<PoolPartition> PartitionsAmong(const Owners& owners,
+                                                    const std::string& service);
 
   /// A gateway as the leader sees it.
   struct Gateway {
@@ -44,7 +44,7 @@
   /// undivided pool is unreachable. The leader then names the same gateway.
   /// Thread safe.
   using Order = std::tuple<bool, bool, uint64_t>;
-  static Order SuccessorOrder(const PoolPart& partition,
+  static Order SuccessorOrder(const PoolPartition& partition,
                               const std::string& endpoint,
                               bool stopping,
                               const Owners& owners);
@@ -60,7 +60,7 @@
   /// Returns whether the number rose: it does with each change, and once for
   /// each leader. Does nothing and returns false without gateways, or while a
   /// new leader still waits for gateways to report the owners they know.
-  bool Update(absl::Span<const PoolPart> partitions,
+  bool Update(absl::Span<const PoolPartition> partitions,
               absl::Span<const Gateway> gateways,
               TimePoint now);
 
@@ -81,17 +81,17 @@
   bool IsAwaitingOwnerReports(absl::Span<const Gateway> gateways,
                               TimePoint now) const;
   bool IsNewFleet(absl::Span<const Gateway> gateways) const;
-  bool KeepsOwner(const PoolPart& partition,
+  bool KeepsOwner(const PoolPartition& partition,
                   absl::Span<const Gateway> gateways,
                   TimePoint now);
   std::string Choose(absl::Span<const Gateway> gateways,
-                     const PoolPart& partition) const;
+                     const PoolPartition& partition) const;
   std::string Successor(absl::Span<const Gateway> gateways,
-                        const PoolPart& partition) const;
+                        const PoolPartition& partition) const;
 
   uint64_t number_ = 0;
   Owners owners_;
-  std::map<PoolPart, OwnerConnection> owner_connections_;
+  std::map<PoolPartition, OwnerConnection> owner_connections_;
   TimePoint leading_since_;
   /// First number that this leader may use.
   uint64_t first_number_ = 0;
--- a/include/citronlane/fleet/pool_division.h
+++ b/include/citronlane/fleet/pool_division.h
@@ -17,9 +17,9 @@
 /// `held` are the partitions that have owners now: a divided pool stays divided
 /// until it has become much smaller. Each service gets at least one partition,
 /// and each server that is not leaving is in exactly one. Pure. Thread safe.
-std::vector<PoolPart> DividePools(absl::Span<const PooledService> services,
-                                  absl::Span<const BackendServer> servers,
-                                  const PoolAssignment::Owners& held);
+std::vector<PoolPartition> DividePools(absl::Span<const PooledService> services,
+                                       absl::Span<const BackendServer> servers,
+                                       const PoolAssignment::Owners& held);
 
 }  // namespace citronlane
 
--- a/include/citronlane/fleet/pool_part.h
+++ b/include/citronlane/fleet/pool_part.h
@@ -10,14 +10,14 @@
 /// The servers of a service that one gateway owns: those of one failure domain,
 /// or all servers that are in no partition of a failure domain. A small pool
 /// has only the latter.
-struct PoolPart {
-  PoolPart() = default;
+struct PoolPartition {
+  PoolPartition() = default;
   /// The partition without a failure domain.
-  PoolPart(std::string service)  // NOLINT(google-explicit-constructor)
+  PoolPartition(std::string service)  // NOLINT(google-explicit-constructor)
       : service_(std::move(service)) {}
-  PoolPart(const char* service)  // NOLINT(google-explicit-constructor)
+  PoolPartition(const char* service)  // NOLINT(google-explicit-constructor)
       : service_(service) {}
-  PoolPart(std::string service, std::string failure_domain)
+  PoolPartition(std::string service, std::string failure_domain)
       : service_(std::move(service)),
         failure_domain_(std::move(failure_domain)) {}
 
@@ -28,13 +28,13 @@
     return IsDomainPartition() ? service_ + "/" + failure_domain_ : service_;
   }
 
-  friend bool operator==(const PoolPart& a, const PoolPart& b) {
+  friend bool operator==(const PoolPartition& a, const PoolPartition& b) {
     return a.service_ == b.service_ && a.failure_domain_ == b.failure_domain_;
   }
-  friend bool operator!=(const PoolPart& a, const PoolPart& b) {
+  friend bool operator!=(const PoolPartition& a, const PoolPartition& b) {
     return !(a == b);
   }
-  friend bool operator<(const PoolPart& a, const PoolPart& b) {
+  friend bool operator<(const PoolPartition& a, const PoolPartition& b) {
     return std::tie(a.service_, a.failure_domain_) <
            std::tie(b.service_, b.failure_domain_);
   }
--- a/include/citronlane/fleet/server_starts.h
+++ b/include/citronlane/fleet/server_starts.h
@@ -17,7 +17,7 @@
 /// current. If an older one keeps being listed, the server has restarted with a
 /// clock that was set back, and the older one becomes current after a delay.
 /// Relies on no clock but the reader's. Pure: no I/O. Not thread safe.
-class ServerStarts {
+class ServerIncarnations {
  public:
   /// Returns the current incarnation of each listed server, in the list's
   /// order. `read` is when the list was read. Call with every list, oldest
--- a/include/citronlane/orders/order_gate.h
+++ b/include/citronlane/orders/order_gate.h
@@ -21,9 +21,9 @@
   explicit OrderGate(const OrderGateOptions& options);
 
   /// This node became the leader at `now`, with this fencing number.
-  void OnLead(uint64_t number, TimePoint now);
+  void OnLeadershipGained(uint64_t number, TimePoint now);
   /// This node is not the leader any more.
-  void OnLeadLost();
+  void OnLeadershipLost();
 
   /// Fencing number of the current leadership; 0 when this node does not lead.
   uint64_t number() const { return number_; }
--- a/include/citronlane/relay/detail/gateway_host_impl.h
+++ b/include/citronlane/relay/detail/gateway_host_impl.h
@@ -63,7 +63,7 @@
   ServiceRouter* RouterOf(const Service& service);
   ServiceRouter* EngineRouterOf(const std::string& service);
   RepeatBudget* BudgetOf(const std::string& service);
-  StagePool* PoolOf(const PoolPart& partition);
+  StagePool* PoolOf(const PoolPartition& partition);
   void HandBackMovedPools(TimePoint now);
 
   // gateway_host_feed.cc: updates from control and the platform's server list.
@@ -100,7 +100,7 @@
   ServerListReader list_reader_;
   std::map<std::string, std::unique_ptr<ServiceRouter>> routers_;
   std::map<std::string, std::unique_ptr<RepeatBudget>> budgets_;
-  std::map<PoolPart, std::unique_ptr<StagePool>> pools_;
+  std::map<PoolPartition, std::unique_ptr<StagePool>> pools_;
   /// Number of the owners known last, and when they became known.
   uint64_t owners_number_ = 0;
   TimePoint owners_since_;
--- a/include/citronlane/relay/engine_placement.h
+++ b/include/citronlane/relay/engine_placement.h
@@ -69,16 +69,17 @@
   /// or on any engine when the service is not divided. Nothing while the owner
   /// of a divided service's partition is unreachable, or if no partition
   /// contains the domain.
-  std::optional<PoolPart> PartitionIn(const std::string& service,
-                                      const std::string& failure_domain) const;
+  std::optional<PoolPartition> PartitionIn(
+      const std::string& service,
+      const std::string& failure_domain) const;
   /// Whether this gateway is the placement owner of the partition.
-  bool IsPlacementOwner(const PoolPart& partition) const;
+  bool IsPlacementOwner(const PoolPartition& partition) const;
   /// Requests an engine of the partition that is not in `excluded` from the
   /// placement owner. Returns the number of the question, which must be passed
   /// to ReportFinished() once. `replied` is called later, or never.
   /// Precondition: !IsPlacementOwner(partition).
   uint64_t RequestEngine(Purpose purpose,
-                         const PoolPart& partition,
+                         const PoolPartition& partition,
                          const EngineRouter::Call& call,
                          absl::Span<const std::string> excluded,
                          ReplyHook replied);
--- a/include/citronlane/relay/fleet_view.h
+++ b/include/citronlane/relay/fleet_view.h
@@ -51,28 +51,29 @@
   /// Servers of a service, leaving ones included. Valid until the list changes.
   std::vector<const BackendServer*> ServersOf(std::string_view service) const;
   /// Servers of a service that are in the partition, leaving ones included.
-  std::vector<const BackendServer*> ServersIn(const PoolPart& partition) const;
+  std::vector<const BackendServer*> ServersIn(
+      const PoolPartition& partition) const;
   /// Partitions of the service's pool as control has divided it or, while
   /// control has named no owners at all, as it would divide it by this view's
   /// list. Never empty.
-  std::vector<PoolPart> PartitionsOf(const std::string& service) const;
+  std::vector<PoolPartition> PartitionsOf(const std::string& service) const;
   /// Whether the partition exists.
-  bool HasPartition(const PoolPart& partition) const;
+  bool HasPartition(const PoolPartition& partition) const;
   /// Whether work that waits in a partition at the gateway `endpoint` belongs
   /// elsewhere: the partition no longer exists, or it is one of a failure
   /// domain and has another owner. An undivided pool may be at a successor that
   /// control has not named yet.
-  bool BelongsElsewhere(const PoolPart& partition,
+  bool BelongsElsewhere(const PoolPartition& partition,
                         const std::string& endpoint) const;
   /// Whether the service's pool has partitions of failure domains.
   bool IsDivided(const std::string& service) const;
   /// The partition that contains the service's servers of a failure domain.
-  PoolPart PartitionIn(const std::string& service,
-                       const std::string& failure_domain) const;
+  PoolPartition PartitionIn(const std::string& service,
+                            const std::string& failure_domain) const;
   /// Server with the id; null when there is none. Valid until the list changes.
   const BackendServer* FindServer(std::string_view id) const;
   /// Incarnations of the listed servers, for their counts.
-  const ServerStarts& incarnations() const { return incarnations_; }
+  const ServerIncarnations& incarnations() const { return incarnations_; }
   /// Server at the address "IP:port"; null when there is none.
   const BackendServer* ServerAt(std::string_view address) const;
   /// Failure domain of the server at the address "IP:port"; empty when there is
@@ -100,7 +101,7 @@
   std::vector<BackendServer> listed_;
   DrainedDomains::Names drained_;
   std::vector<BackendServer> servers_;
-  ServerStarts incarnations_;
+  ServerIncarnations incarnations_;
   std::map<std::string, size_t, std::less<>> by_id_;
   std::map<std::string, size_t, std::less<>> by_address_;
   std::optional<TimePoint> servers_read_;
@@ -111,7 +112,7 @@
   PoolAssignment::Owners owners_;
   /// Partitions by service; a service that is missing here has an undivided
   /// pool.
-  std::map<std::string, std::vector<PoolPart>> partitions_;
+  std::map<std::string, std::vector<PoolPartition>> partitions_;
   uint64_t partitions_number_ = 0;
 };
 
--- a/include/citronlane/relay/owner_table.h
+++ b/include/citronlane/relay/owner_table.h
@@ -24,17 +24,17 @@
 
   /// Endpoint of the partition's owner or its successor; this gateway's when no
   /// other is known.
-  std::string OwnerOf(const PoolPart& partition, TimePoint now) const;
+  std::string OwnerOf(const PoolPartition& partition, TimePoint now) const;
   /// Partition that takes the service's work: the one of `failure_domain`, or
   /// another one with a reachable owner if that owner is unreachable or there
   /// is no such partition. `spread` selects among the others; different values
   /// distribute over all of them.
-  PoolPart PartitionFor(const std::string& service,
-                        const std::string& failure_domain,
-                        uint64_t spread,
-                        TimePoint now) const;
+  PoolPartition PartitionFor(const std::string& service,
+                             const std::string& failure_domain,
+                             uint64_t spread,
+                             TimePoint now) const;
   /// Whether the partition's named owner was marked as lost recently.
-  bool IsOwnerLost(const PoolPart& partition, TimePoint now) const;
+  bool IsOwnerLost(const PoolPartition& partition, TimePoint now) const;
   /// The gateway is unreachable: excludes it for a while.
   void MarkLost(const std::string& endpoint, TimePoint now);
 
--- a/include/citronlane/relay/placed_engine.h
+++ b/include/citronlane/relay/placed_engine.h
@@ -40,7 +40,7 @@
   bool is_placed_elsewhere() const { return is_placed_elsewhere_; }
   /// Partition that contains the engine. Precondition: is_placed_here() or
   /// is_placed_elsewhere().
-  const PoolPart& partition() const { return partition_; }
+  const PoolPartition& partition() const { return partition_; }
   /// The request goes to an engine that no placement owner assigned.
   void Detach() { is_placed_here_ = is_placed_elsewhere_ = false; }
 
@@ -63,7 +63,7 @@
  private:
   EnginePlacement* const placement_;
   const std::shared_ptr<Waker> waker_;
-  PoolPart partition_;
+  PoolPartition partition_;
   bool is_placed_here_ = false;
   bool is_placed_elsewhere_ = false;
   std::optional<uint64_t> question_;
--- a/include/citronlane/relay/pool_part_codec.h
+++ b/include/citronlane/relay/pool_part_codec.h
@@ -7,13 +7,13 @@
 
 /// Reads the partition that a message between gateways refers to. Thread safe.
 template <typename Message>
-PoolPart DecodePartition(const Message& message) {
+PoolPartition DecodePartition(const Message& message) {
   return {message.service(), message.part_domain()};
 }
 
 /// Writes the partition into such a message. Thread safe.
 template <typename Message>
-void EncodePartition(const PoolPart& partition, Message* message) {
+void EncodePartition(const PoolPartition& partition, Message* message) {
   message->set_service(partition.service_);
   message->set_part_domain(partition.failure_domain_);
 }
--- a/include/citronlane/relay/service_router.h
+++ b/include/citronlane/relay/service_router.h
@@ -42,7 +42,8 @@
                                     absl::Span<const std::string> excluded);
   /// Failure domain of the engine that the call would probably go to; empty for
   /// services without engines.
-  std::string HomeDomain(TimePoint now, const EngineRouter::Call& call);
+  std::string PreferredFailureDomain(TimePoint now,
+                                     const EngineRouter::Call& call);
   /// See EngineRouter; these do nothing for other servers' prompts.
   void Expect(std::string_view server,
               TimePoint now,
--- a/include/citronlane/relay/stage_owners.h
+++ b/include/citronlane/relay/stage_owners.h
@@ -46,7 +46,7 @@
   using WaitKnown = std::function<void(const StageWait& wait)>;
   /// The pool that runs a partition here; null when the service has no stage
   /// pool.
-  using PoolHook = std::function<StagePool*(const PoolPart& partition)>;
+  using PoolHook = std::function<StagePool*(const PoolPartition& partition)>;
 
   /// `io`, `view` and `log` must outlive the object. `own_endpoint` is this
   /// gateway's.
@@ -106,7 +106,7 @@
     std::string service_;
     /// Preferred failure domain of its pieces.
     std::string failure_domain_;
-    PoolPart partition_;
+    PoolPartition partition_;
     JobState state_ = JobState::kUnplaced;
     StageTask task_;
     WaitKnown wait_known_;
@@ -122,14 +122,14 @@
   };
   /// A task or announcement of another gateway.
   struct Served {
-    PoolPart partition_;
+    PoolPartition partition_;
     uint64_t local_ = 0;
   };
   /// Results that an owner was requested to free.
   struct Freed {
     TimePoint at_;
     std::string owner_;
-    PoolPart partition_;
+    PoolPartition partition_;
     std::vector<std::string> handles_;
   };
   using ServedKey = std::pair<const FrameChannel*, uint64_t>;
@@ -137,7 +137,7 @@
   struct Delivered {
     TimePoint at_;
     ServedKey key_;
-    PoolPart partition_;
+    PoolPartition partition_;
     std::vector<std::string> handles_;
   };
 
@@ -147,9 +147,9 @@
   void Place(uint64_t number);
   void PlaceHere(uint64_t number, Job* job);
   void FailUnplaced(uint64_t number, Job* job);
-  PoolPart PartitionOf(uint64_t number, const Job& job) const;
-  PoolPart ProducerPartition(const std::string& service,
-                             const std::string& handle) const;
+  PoolPartition PartitionOf(uint64_t number, const Job& job) const;
+  PoolPartition ProducerPartition(const std::string& service,
+                                  const std::string& handle) const;
   void Finish(uint64_t number, StageOutcome outcome);
   bool IsHeldBy(uint64_t number, const std::string& owner) const;
   void NoteInputsTaken(uint64_t number);
@@ -162,7 +162,7 @@
   void FreeAtNextOwners(TimePoint now);
   void ExpireFrees(TimePoint now);
   void SendFree(TimePoint first_sent,
-                const PoolPart& partition,
+                const PoolPartition& partition,
                 absl::Span<const std::string> handles);
   void TakeFrame(const std::string& owner, const wire::fleet::Frame& frame);
   void TakeResult(const wire::fleet::Frame& frame);
--- a/include/citronlane/relay/stage_pool.h
+++ b/include/citronlane/relay/stage_pool.h
@@ -36,7 +36,7 @@
   using InputsTaken = std::function<void()>;
 
   /// `view`, `dialect`, `client` and `log` must outlive the pool.
-  StagePool(PoolPart partition,
+  StagePool(PoolPartition partition,
             const StagePoolSpec& spec,
             const RepeatBudget::Options& budget,
             const FleetView* view,
@@ -59,7 +59,7 @@
   void Free(absl::Span<const std::string> handles);
   /// This gateway no longer owns the partition: tasks of which nothing was sent
   /// end as moved.
-  void HandBackWaiting();
+  void ReturnUnsentTasks();
   /// Call about every 50 ms, and when the servers or the configuration changed.
   void Tick(TimePoint now);
 
@@ -100,7 +100,7 @@
                    CallOutcome outcome);
   void SendUnwanted(TimePoint now);
 
-  const PoolPart partition_;
+  const PoolPartition partition_;
   const std::string name_;
   const FleetView* const view_;
   const Dialect* const dialect_;
--- a/include/citronlane/routing/engine_router.h
+++ b/include/citronlane/routing/engine_router.h
@@ -29,16 +29,16 @@
   /// the duration of a call of this class.
   struct Call {
     /// Segments in order; all but the last may be shared with other requests.
-    absl::Span<const PromptPart> prompt_;
+    absl::Span<const PromptSegment> prompt_;
     /// Failure domain that holds the request's inputs; empty for none.
     std::string_view near_;
     /// Bytes that the engine would fetch from there.
     uint64_t input_bytes_ = 0;
     /// This router is notified of every request of the service, or of all in
     /// the failure domain below.
-    bool sees_all_ = false;
+    bool sees_all_requests_ = false;
     /// The engine must be in this failure domain; empty for any.
-    std::string_view only_in_;
+    std::string_view required_domain_;
   };
 
   /// A shared segment used by any engine within `reuse_window` is expected to
@@ -57,7 +57,7 @@
 
   /// Failure domain of the engine that Choose would return now; empty when
   /// there is none.
-  std::string HomeDomain(TimePoint now, const Call& call);
+  std::string PreferredFailureDomain(TimePoint now, const Call& call);
 
   /// Records that the server will hold the call's shared segment, because a
   /// request with it will be sent there. Unknown servers are ignored, here and
--- a/include/citronlane/routing/repeat_budget.h
+++ b/include/citronlane/routing/repeat_budget.h
@@ -26,7 +26,7 @@
   explicit RepeatBudget(const Options& options);
 
   /// A request was sent for the first time.
-  void OnFirst(TimePoint now);
+  void OnFirstSend(TimePoint now);
   /// Takes one repeat; false when none is left. `nodes` is the number of nodes
   /// that share the allowance; 0 counts as 1.
   bool TryTake(TimePoint now, size_t nodes);
--- a/include/citronlane/serving/prompt_part.h
+++ b/include/citronlane/serving/prompt_part.h
@@ -8,7 +8,7 @@
 
 /// A segment of a request's prompt. Requests with the same leading segments
 /// share what an engine caches of them.
-struct PromptPart {
+struct PromptSegment {
   std::string id_;
   uint32_t tokens_ = 0;
 };
--- a/include/citronlane/serving/request_head.h
+++ b/include/citronlane/serving/request_head.h
@@ -24,9 +24,9 @@
   std::string stage_key_;
   /// Segments of the prompt in order; the last one belongs to this request
   /// alone.
-  std::vector<PromptPart> prompt_;
+  std::vector<PromptSegment> prompt_;
   uint32_t prompt_tokens_ = 0;
-  uint32_t most_output_tokens_ = 0;
+  uint32_t max_output_tokens_ = 0;
   /// The caller's estimate; 0 when missing.
   uint32_t expected_output_tokens_ = 0;
   /// Number of the last event of this stream that the caller has.
--- a/include/citronlane/serving/result_handle.h
+++ b/include/citronlane/serving/result_handle.h
@@ -7,7 +7,7 @@
 
 /// Address of the server that produced and keeps a stage result, with which the
 /// result's handle begins. The view points into `handle`. Thread safe.
-inline std::string_view MakerAddress(std::string_view handle) {
+inline std::string_view ProducerAddress(std::string_view handle) {
   return handle.substr(0, handle.find('/'));
 }
 
--- a/include/citronlane/serving/stage_piece_result.h
+++ b/include/citronlane/serving/stage_piece_result.h
@@ -14,7 +14,7 @@
     /// One of its inputs is gone.
     kInputGone,
     /// The server is out of capacity for the result.
-    kNoRoom,
+    kOutOfCapacity,
     kFailed,
   };
 
--- a/include/citronlane/serving/stage_pool_spec.h
+++ b/include/citronlane/serving/stage_pool_spec.h
@@ -20,9 +20,9 @@
   /// Additional time for each piece; approximate, differs by stage.
   Duration piece_time_{};
   /// Capacity for results.
-  uint64_t room_bytes_ = 0;
+  uint64_t result_capacity_bytes_ = 0;
   /// How long a result is kept unless it is freed.
-  Duration result_life_{};
+  Duration result_lifetime_{};
 };
 
 }  // namespace citronlane
--- a/include/citronlane/stages/stage_batcher.h
+++ b/include/citronlane/stages/stage_batcher.h
@@ -85,7 +85,7 @@
 
   /// For the shutdown of this gateway: ends as kMoved the tasks that no server
   /// can have run, so that another gateway may run them.
-  void HandBackWaiting();
+  void ReturnUnsentTasks();
 
   /// Tasks that ended since the last call.
   std::vector<StageOutcome> TakeOutcomes();
@@ -95,9 +95,9 @@
   std::vector<uint64_t> TakeTasksWithInputsTaken();
   /// Handles of results discarded since the last call, by the address of the
   /// server that holds them. The owner has the servers delete them.
-  std::map<std::string, std::vector<std::string>> TakeUnwanted();
+  std::map<std::string, std::vector<std::string>> TakeDiscardedResults();
   /// Discards results that are not needed any more: their capacity counts as
-  /// free, and TakeUnwanted returns them.
+  /// free, and TakeDiscardedResults returns them.
   void Free(absl::Span<const std::string> handles);
 
   /// Announces pieces that will be added later, so that ExpectedWait counts
@@ -258,7 +258,7 @@
   std::map<uint64_t, StageForecast> announced_;
   /// Id of the server that holds a result, by handle.
   std::map<std::string, std::string> holders_;
-  /// Handles by address, for TakeUnwanted.
+  /// Handles by address, for TakeDiscardedResults.
   std::map<std::string, std::vector<std::string>> discarded_;
   std::vector<StageOutcome> outcomes_;
   /// For TakeTasksWithInputsTaken.
--- a/include/citronlane/stages/stage_reply_check.h
+++ b/include/citronlane/stages/stage_reply_check.h
@@ -24,11 +24,11 @@
     kOwn,
     /// It may belong to another call: it names no result, or one that an
     /// earlier reply named for the same piece.
-    kMayBeOthers,
+    kAmbiguous,
     /// The number of results differs from the number of pieces.
     kSizeMismatch,
     /// It names a result that an earlier reply named for another piece.
-    kSeenBefore,
+    kDuplicateHandle,
   };
 
   /// Handles are remembered for `retention`, which must be longer than idle
@@ -36,7 +36,7 @@
   explicit StageReplyCheck(Duration retention);
 
   /// Classifies a reply to a call with `pieces`, and remembers its handles
-  /// unless it is kSizeMismatch or kSeenBefore. Precondition: `now` never
+  /// unless it is kSizeMismatch or kDuplicateHandle. Precondition: `now` never
   /// decreases between calls.
   Match Take(absl::Span<const StagePieceResult> results,
              absl::Span<const StagePiece> pieces,
--- a/include/citronlane/storage/recovered_log.h
+++ b/include/citronlane/storage/recovered_log.h
@@ -18,7 +18,7 @@
   uint64_t base_term_ = 0;
   std::vector<Entry> entries_;
   /// Description of a truncated torn tail; empty when there was none.
-  std::string cut_;
+  std::string truncation_;
   /// Whether the folder held no log segment.
   bool is_new_ = false;
 };
--- a/include/citronlane/storage/stored_state.h
+++ b/include/citronlane/storage/stored_state.h
@@ -21,7 +21,7 @@
   /// Log entries after the snapshot.
   std::vector<Entry> entries_;
   /// Description of a truncated torn tail; empty when there was none.
-  std::string cut_;
+  std::string truncation_;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/transport/admin_request.h
+++ b/include/citronlane/transport/admin_request.h
@@ -15,7 +15,7 @@
   std::string authorization_;
   std::string body_;
   /// Whether the body exceeded the limit; body_ holds its beginning.
-  bool is_cut_ = false;
+  bool is_truncated_ = false;
 };
 
 }  // namespace citronlane
--- a/include/citronlane/transport/detail/stage_messages.h
+++ b/include/citronlane/transport/detail/stage_messages.h
@@ -21,7 +21,7 @@
 /// functions below.
 std::string RequestText(const StageCallSpec& spec);
 
-/// Parses the head of a reply. kept_connection_ has to be set by the caller.
+/// Parses the head of a reply. reused_connection_ has to be set by the caller.
 StageReplyHead ReadHead(const StageReplyFields& reply);
 
 /// Returns how long the idle connection may be reused: the time in the server's
--- a/include/citronlane/transport/replication_server.h
+++ b/include/citronlane/transport/replication_server.h
@@ -25,7 +25,7 @@
     /// A message arrived.
     std::function<void(Message message)> received_;
     /// Node `id` opened a stream and can be reached at `address`.
-    std::function<void(uint64_t id, std::string address)> peer_seen_;
+    std::function<void(uint64_t id, std::string address)> peer_contacted_;
     /// Returns the greeting of this node.
     std::function<ReplicationGreeting()> greet_;
   };
--- a/include/citronlane/transport/stage_reply_head.h
+++ b/include/citronlane/transport/stage_reply_head.h
@@ -26,7 +26,7 @@
   bool is_merged_ = false;
   /// Whether the connection was used for other calls before, so that the reply
   /// may belong to one of them.
-  bool kept_connection_ = false;
+  bool reused_connection_ = false;
   std::vector<HttpHeader> headers_;
 };
 
--- a/src/control/command_proposer.cc
+++ b/src/control/command_proposer.cc
@@ -11,14 +11,14 @@
 CommandProposer::CommandProposer(ProposeHook propose)
     : propose_(std::move(propose)) {}
 
-void CommandProposer::OnLead(uint64_t time_ms, TimePoint now) {
+void CommandProposer::OnLeadershipGained(uint64_t time_ms, TimePoint now) {
   const std::lock_guard<std::mutex> lock(mutex_);
   leads_ = true;
   base_ms_ = time_ms;
   since_ = now;
 }
 
-void CommandProposer::OnLeadLost() {
+void CommandProposer::OnLeadershipLost() {
   const std::lock_guard<std::mutex> lock(mutex_);
   leads_ = false;
 }
--- a/src/control/control_admin.cc
+++ b/src/control/control_admin.cc
@@ -143,7 +143,7 @@
   if (route.method_ != "GET" && operator_key->role_ != OperatorRole::kChange) {
     return ProblemReply(AdminStatus::kForbidden, "");
   }
-  if (request.is_cut_) {
+  if (request.is_truncated_) {
     return ProblemReply(AdminStatus::kTooLarge, "");
   }
   if (context_.state_->is_broken()) {
--- a/src/control/control_leader.cc
+++ b/src/control/control_leader.cc
@@ -50,8 +50,8 @@
     acquiring_fencing_number_ = false;
     fencing_number_ = 0;
   }
-  proposer_->OnLeadLost();
-  orders_->OnLeadLost();
+  proposer_->OnLeadershipLost();
+  orders_->OnLeadershipLost();
   wake_.notify_one();
 }
 
@@ -105,8 +105,8 @@
         if (result && result->fencing_number() != 0) {
           leading_since_ = SteadyNow();
           fencing_number_ = result->fencing_number();
-          orders_->OnLead(fencing_number_, leading_since_);
-          proposer_->OnLead(time_ms, leading_since_);
+          orders_->OnLeadershipGained(fencing_number_, leading_since_);
+          proposer_->OnLeadershipGained(time_ms, leading_since_);
           log_("This node leads with fencing number " +
                std::to_string(result->fencing_number()) + ".");
         }
--- a/src/control/control_metrics.cc
+++ b/src/control/control_metrics.cc
@@ -61,7 +61,7 @@
   return text;
 }
 
-std::string FeedMetricsText(bool leads, const ConfigSpread& propagation) {
+std::string FeedMetricsText(bool leads, const ConfigPropagation& propagation) {
   std::string text;
   AppendMetric("leads", "gauge", "1 on the leader with its lease, else 0.",
                leads ? 1 : 0, &text);
--- a/src/control/control_state.cc
+++ b/src/control/control_state.cc
@@ -147,7 +147,7 @@
     RecordRegistration(name, incarnation, now);
   }
   for (const auto& [name, incarnation] : effects.removed_gateways_) {
-    tracker_.OnForgotten(name, incarnation, now);
+    tracker_.OnRemoved(name, incarnation, now);
     const auto observation = observations_.find(name);
     if (observation != observations_.end() &&
         observation->second.incarnation_ == incarnation) {
--- a/src/control/gateway_feed.cc
+++ b/src/control/gateway_feed.cc
@@ -158,17 +158,17 @@
 
 // Without a server list the current partitions are kept, since each change
 // moves servers between owners.
-std::vector<PoolPart> GatewayFeed::Partitions() const {
+std::vector<PoolPartition> GatewayFeed::Partitions() const {
   const std::vector<PooledService> services = pools_();
   if (servers_read_) {
     return DividePools(services,
                        WithDrained(servers_, state_->drained().names()),
                        assignment_.owners());
   }
-  std::vector<PoolPart> partitions;
+  std::vector<PoolPartition> partitions;
   for (const PooledService& service : services) {
     const auto held =
-        PoolAssignment::PartsAmong(assignment_.owners(), service.name_);
+        PoolAssignment::PartitionsAmong(assignment_.owners(), service.name_);
     partitions.insert(partitions.end(), held.begin(), held.end());
     if (held.empty()) {
       partitions.emplace_back(service.name_);
@@ -207,8 +207,8 @@
                      });
 }
 
-ConfigSpread GatewayFeed::Propagation() const {
-  ConfigSpread propagation;
+ConfigPropagation GatewayFeed::Propagation() const {
+  ConfigPropagation propagation;
   propagation.newest_ = documents_.newest().value_or(0);
   propagation.lowest_ = propagation.newest_;
   for (const auto& [key, watcher] : watchers_) {
@@ -312,7 +312,7 @@
       !leadership_().leads_) {
     return;
   }
-  const ConfigSpread propagation = Propagation();
+  const ConfigPropagation propagation = Propagation();
   if (propagation.behind_ == 0) {
     logged_complete_ = true;
     log_->Write("control", "config everywhere",
--- a/src/control/order_dispatcher.cc
+++ b/src/control/order_dispatcher.cc
@@ -82,14 +82,14 @@
       has_lease_(std::move(has_lease)),
       gate_(GateOptions(options)) {}
 
-void OrderDispatcher::OnLead(uint64_t number, TimePoint now) {
+void OrderDispatcher::OnLeadershipGained(uint64_t number, TimePoint now) {
   const std::lock_guard<std::mutex> lock(mutex_);
-  gate_.OnLead(number, now);
+  gate_.OnLeadershipGained(number, now);
 }
 
-void OrderDispatcher::OnLeadLost() {
+void OrderDispatcher::OnLeadershipLost() {
   const std::lock_guard<std::mutex> lock(mutex_);
-  gate_.OnLeadLost();
+  gate_.OnLeadershipLost();
 }
 
 void OrderDispatcher::Work() {
--- a/src/control/replica.cc
+++ b/src/control/replica.cc
@@ -64,8 +64,8 @@
   if (!state) {
     return false;
   }
-  if (!state->cut_.empty()) {
-    Log(state->cut_);
+  if (!state->truncation_.empty()) {
+    Log(state->truncation_);
   }
   options_.raft_.incarnation_ = state->incarnation_;
   greeting_.node_ = options_.raft_.id_;
@@ -103,7 +103,7 @@
   hooks.received_ = [this](Message message) {
     Post([&](Inbox* inbox) { inbox->messages_.push_back(std::move(message)); });
   };
-  hooks.peer_seen_ = [this](uint64_t id, std::string address) {
+  hooks.peer_contacted_ = [this](uint64_t id, std::string address) {
     peers_->Learn(id, std::move(address));
   };
   hooks.greet_ = [this] { return Greet(); };
--- a/src/fleet/in_force_tracker.cc
+++ b/src/fleet/in_force_tracker.cc
@@ -21,9 +21,9 @@
   registered_.emplace(std::string(gateway), incarnation);
 }
 
-void InForceTracker::OnForgotten(std::string_view gateway,
-                                 uint64_t incarnation,
-                                 TimePoint now) {
+void InForceTracker::OnRemoved(std::string_view gateway,
+                               uint64_t incarnation,
+                               TimePoint now) {
   Holder holder(std::string(gateway), incarnation);
   registered_.erase(holder);
   removed_[std::move(holder)] = now + lease_;
--- a/src/fleet/pool_assignment.cc
+++ b/src/fleet/pool_assignment.cc
@@ -43,10 +43,11 @@
 
 }  // namespace
 
-std::vector<PoolPart> PoolAssignment::PartsAmong(const Owners& owners,
-                                                 const std::string& service) {
-  std::vector<PoolPart> partitions;
-  for (auto it = owners.lower_bound(PoolPart(service));
+std::vector<PoolPartition> PoolAssignment::PartitionsAmong(
+    const Owners& owners,
+    const std::string& service) {
+  std::vector<PoolPartition> partitions;
+  for (auto it = owners.lower_bound(PoolPartition(service));
        it != owners.end() && it->first.service_ == service; ++it) {
     partitions.push_back(it->first);
   }
@@ -54,7 +55,7 @@
 }
 
 PoolAssignment::Order PoolAssignment::SuccessorOrder(
-    const PoolPart& partition,
+    const PoolPartition& partition,
     const std::string& endpoint,
     bool stopping,
     const Owners& owners) {
@@ -101,7 +102,7 @@
 // domain of the partition's servers, then the youngest that is settled: when
 // all gateways are restarted in turn, it is the last to be restarted again.
 std::string PoolAssignment::Choose(absl::Span<const Gateway> gateways,
-                                   const PoolPart& partition) const {
+                                   const PoolPartition& partition) const {
   const std::string name = partition.Name();
   const auto order = [&](const Gateway& gateway) {
     const auto runs = std::count_if(
@@ -118,7 +119,7 @@
 // Gateways detect a lost owner before the leader does and turn to this gateway.
 // If the leader named another one, the pool would change its owner twice.
 std::string PoolAssignment::Successor(absl::Span<const Gateway> gateways,
-                                      const PoolPart& partition) const {
+                                      const PoolPartition& partition) const {
   const auto order = [&](const Gateway& gateway) {
     return SuccessorOrder(partition, gateway.endpoint_, gateway.stopping_,
                           owners_);
@@ -127,7 +128,7 @@
 }
 
 // Whether the partition keeps its owner for now.
-bool PoolAssignment::KeepsOwner(const PoolPart& partition,
+bool PoolAssignment::KeepsOwner(const PoolPartition& partition,
                                 absl::Span<const Gateway> gateways,
                                 TimePoint now) {
   const std::string& owner = owners_.at(partition);
@@ -151,7 +152,7 @@
           now - leading_since_ < kOwnerReconnectTime);
 }
 
-bool PoolAssignment::Update(absl::Span<const PoolPart> partitions,
+bool PoolAssignment::Update(absl::Span<const PoolPartition> partitions,
                             absl::Span<const Gateway> gateways,
                             TimePoint now) {
   if (gateways.empty() || IsAwaitingOwnerReports(gateways, now)) {
@@ -166,7 +167,7 @@
     changed = changed || !is_declared;
     it = is_declared ? std::next(it) : owners_.erase(it);
   }
-  for (const PoolPart& partition : partitions) {
+  for (const PoolPartition& partition : partitions) {
     const auto owned = owners_.find(partition);
     if (owned != owners_.end() && KeepsOwner(partition, gateways, now)) {
       continue;
--- a/src/fleet/pool_division.cc
+++ b/src/fleet/pool_division.cc
@@ -26,10 +26,11 @@
                const PoolAssignment::Owners& held) {
   const size_t max_servers =
       service.has_engines_ ? kMaxUndividedEngines : kMaxUndividedStageServers;
-  const auto partitions = PoolAssignment::PartsAmong(held, service.name_);
-  const bool was_divided = std::any_of(
-      partitions.begin(), partitions.end(),
-      [](const PoolPart& partition) { return partition.IsDomainPartition(); });
+  const auto partitions = PoolAssignment::PartitionsAmong(held, service.name_);
+  const bool was_divided = std::any_of(partitions.begin(), partitions.end(),
+                                       [](const PoolPartition& partition) {
+                                         return partition.IsDomainPartition();
+                                       });
   return servers > (was_divided ? max_servers / kMergeDivisor : max_servers);
 }
 
@@ -47,7 +48,7 @@
 void Divide(const PooledService& service,
             const ServersByDomain& counts,
             const PoolAssignment::Owners& held,
-            std::vector<PoolPart>* partitions) {
+            std::vector<PoolPartition>* partitions) {
   size_t all = 0;
   for (const auto& [domain, count] : counts) {
     all += count;
@@ -58,7 +59,7 @@
   }
   bool has_rest = false;
   for (const auto& [domain, count] : counts) {
-    const PoolPart partition(service.name_, domain);
+    const PoolPartition partition(service.name_, domain);
     if (count >= kMinPartitionServers || held.count(partition) != 0) {
       partitions->push_back(partition);
     } else {
@@ -72,10 +73,10 @@
 
 }  // namespace
 
-std::vector<PoolPart> DividePools(absl::Span<const PooledService> services,
-                                  absl::Span<const BackendServer> servers,
-                                  const PoolAssignment::Owners& held) {
-  std::vector<PoolPart> partitions;
+std::vector<PoolPartition> DividePools(absl::Span<const PooledService> services,
+                                       absl::Span<const BackendServer> servers,
+                                       const PoolAssignment::Owners& held) {
+  std::vector<PoolPartition> partitions;
   for (const PooledService& service : services) {
     Divide(service, CountByDomain(service.name_, servers), held, &partitions);
   }
--- a/src/fleet/server_starts.cc
+++ b/src/fleet/server_starts.cc
@@ -12,9 +12,9 @@
 
 }  // namespace
 
-BackendServer ServerStarts::Choose(const BackendServer& listed,
-                                   Known* known,
-                                   TimePoint read) {
+BackendServer ServerIncarnations::Choose(const BackendServer& listed,
+                                         Known* known,
+                                         TimePoint read) {
   if (listed.started_ms_ >= known->server_.started_ms_) {
     known->older_since_.reset();
     return listed;
@@ -31,7 +31,7 @@
   return listed;
 }
 
-std::vector<BackendServer> ServerStarts::Latest(
+std::vector<BackendServer> ServerIncarnations::Latest(
     std::vector<BackendServer> servers,
     TimePoint read) {
   outdated_ = 0;
--- a/src/gateway/request_driver_replies.cc
+++ b/src/gateway/request_driver_replies.cc
@@ -154,7 +154,7 @@
   // reply without it on a kept connection is a late reply to an earlier call.
   const std::string own_id = call->id_.ToHeader();
   std::string echoed = call->head_.echoed_id_;
-  if (echoed.empty() && !call->head_.kept_connection_) {
+  if (echoed.empty() && !call->head_.reused_connection_) {
     echoed = own_id;
   }
   if (echoed == own_id) {
--- a/src/net/fleet_codec.cc
+++ b/src/net/fleet_codec.cc
@@ -60,7 +60,7 @@
 PoolAssignment::Owners DecodeOwners(const wire::fleet::PoolOwners& in) {
   PoolAssignment::Owners owners;
   for (const auto& owner : in.owners()) {
-    owners[PoolPart(owner.service(), owner.failure_domain())] =
+    owners[PoolPartition(owner.service(), owner.failure_domain())] =
         owner.endpoint();
   }
   return owners;
--- a/src/orders/order_gate.cc
+++ b/src/orders/order_gate.cc
@@ -4,12 +4,12 @@
 
 OrderGate::OrderGate(const OrderGateOptions& options) : options_(options) {}
 
-void OrderGate::OnLead(uint64_t number, TimePoint now) {
+void OrderGate::OnLeadershipGained(uint64_t number, TimePoint now) {
   number_ = number;
   leading_since_ = now;
 }
 
-void OrderGate::OnLeadLost() {
+void OrderGate::OnLeadershipLost() {
   number_ = 0;
 }
 
--- a/src/relay/engine_placement.cc
+++ b/src/relay/engine_placement.cc
@@ -68,22 +68,22 @@
 
 EnginePlacement::~EnginePlacement() = default;
 
-std::optional<PoolPart> EnginePlacement::PartitionIn(
+std::optional<PoolPartition> EnginePlacement::PartitionIn(
     const std::string& service,
     const std::string& failure_domain) const {
-  PoolPart partition = view_->PartitionIn(service, failure_domain);
+  PoolPartition partition = view_->PartitionIn(service, failure_domain);
   const bool is_placed = !view_->IsDivided(service) ||
                          (view_->HasPartition(partition) &&
                           !owners_.IsOwnerLost(partition, SteadyNow()));
   return is_placed ? std::optional(std::move(partition)) : std::nullopt;
 }
 
-bool EnginePlacement::IsPlacementOwner(const PoolPart& partition) const {
+bool EnginePlacement::IsPlacementOwner(const PoolPartition& partition) const {
   return owners_.OwnerOf(partition, SteadyNow()) == owners_.own_endpoint();
 }
 
 uint64_t EnginePlacement::RequestEngine(Purpose purpose,
-                                        const PoolPart& partition,
+                                        const PoolPartition& partition,
                                         const EngineRouter::Call& call,
                                         absl::Span<const std::string> excluded,
                                         ReplyHook replied) {
@@ -95,7 +95,7 @@
   ask->set_question(number);
   EncodePartition(partition, ask);
   ask->set_plan(purpose == Purpose::kPlan);
-  for (const PromptPart& segment : call.prompt_) {
+  for (const PromptSegment& segment : call.prompt_) {
     auto* added = ask->add_prompt();
     added->set_id(segment.id_);
     added->set_tokens(segment.tokens_);
@@ -209,7 +209,7 @@
   if (router == nullptr) {
     return;
   }
-  std::vector<PromptPart> prompt;
+  std::vector<PromptSegment> prompt;
   for (const auto& segment : ask.prompt()) {
     prompt.push_back({segment.id(), segment.tokens()});
   }
@@ -217,8 +217,8 @@
   call.prompt_ = prompt;
   call.near_ = ask.near();
   call.input_bytes_ = ask.input_bytes();
-  call.sees_all_ = true;
-  call.only_in_ = ask.part_domain();
+  call.sees_all_requests_ = true;
+  call.required_domain_ = ask.part_domain();
   const std::vector<std::string> excluded(ask.excluded().begin(),
                                           ask.excluded().end());
   const TimePoint now = SteadyNow();
--- a/src/relay/fleet_view.cc
+++ b/src/relay/fleet_view.cc
@@ -56,7 +56,7 @@
 
 void FleetView::UpdatePartitions() {
   ++partitions_number_;
-  std::vector<PoolPart> partitions;
+  std::vector<PoolPartition> partitions;
   for (const auto& [partition, owner] : owners_) {
     partitions.push_back(partition);
   }
@@ -64,7 +64,7 @@
     partitions = DividePools(PooledServicesOf(*config_), servers_, owners_);
   }
   partitions_.clear();
-  for (PoolPart& partition : partitions) {
+  for (PoolPartition& partition : partitions) {
     partitions_[partition.service_].push_back(std::move(partition));
   }
 }
@@ -100,7 +100,7 @@
 }
 
 std::vector<const BackendServer*> FleetView::ServersIn(
-    const PoolPart& partition) const {
+    const PoolPartition& partition) const {
   std::vector<const BackendServer*> servers;
   for (const BackendServer* server : ServersOf(partition.service_)) {
     if (PartitionIn(partition.service_, server->failure_domain_) == partition) {
@@ -110,14 +110,14 @@
   return servers;
 }
 
-std::vector<PoolPart> FleetView::PartitionsOf(
+std::vector<PoolPartition> FleetView::PartitionsOf(
     const std::string& service) const {
   const auto partitions = partitions_.find(service);
-  return partitions == partitions_.end() ? std::vector<PoolPart>{service}
+  return partitions == partitions_.end() ? std::vector<PoolPartition>{service}
                                          : partitions->second;
 }
 
-bool FleetView::HasPartition(const PoolPart& partition) const {
+bool FleetView::HasPartition(const PoolPartition& partition) const {
   const auto partitions = partitions_.find(partition.service_);
   return partitions == partitions_.end()
              ? !partition.IsDomainPartition()
@@ -125,7 +125,7 @@
                          partition) != partitions->second.end();
 }
 
-bool FleetView::BelongsElsewhere(const PoolPart& partition,
+bool FleetView::BelongsElsewhere(const PoolPartition& partition,
                                  const std::string& endpoint) const {
   const auto owner = owners_.find(partition);
   const bool has_other = partition.IsDomainPartition() &&
@@ -137,15 +137,15 @@
   const auto partitions = partitions_.find(service);
   return partitions != partitions_.end() &&
          std::any_of(partitions->second.begin(), partitions->second.end(),
-                     [](const PoolPart& partition) {
+                     [](const PoolPartition& partition) {
                        return partition.IsDomainPartition();
                      });
 }
 
-PoolPart FleetView::PartitionIn(const std::string& service,
-                                const std::string& failure_domain) const {
-  PoolPart partition(service, failure_domain);
-  return HasPartition(partition) ? partition : PoolPart(service);
+PoolPartition FleetView::PartitionIn(const std::string& service,
+                                     const std::string& failure_domain) const {
+  PoolPartition partition(service, failure_domain);
+  return HasPartition(partition) ? partition : PoolPartition(service);
 }
 
 const BackendServer* FleetView::FindServer(std::string_view id) const {
--- a/src/relay/gateway_host.cc
+++ b/src/relay/gateway_host.cc
@@ -100,11 +100,12 @@
       metrics_(Metrics::kDefaultMaxSeries, 1),
       client_(&io_, ServerLimits()),
       list_reader_(&client_, dialect, settings_.server_list_address_),
-      owners_(&io_,
-              settings_.internal_listen_,
-              &view_,
-              log,
-              [this](const PoolPart& partition) { return PoolOf(partition); }),
+      owners_(
+          &io_,
+          settings_.internal_listen_,
+          &view_,
+          log,
+          [this](const PoolPartition& partition) { return PoolOf(partition); }),
       engines_(&io_,
                &view_,
                settings_.internal_listen_,
@@ -294,7 +295,7 @@
       std::make_shared<boost::asio::steady_timer>(io_, kPropagationTime);
   timer->async_wait([this, timer](const boost::system::error_code&) {
     for (const auto& [partition, pool] : pools_) {
-      pool->HandBackWaiting();
+      pool->ReturnUnsentTasks();
     }
   });
 }
--- a/src/relay/gateway_host_pools.cc
+++ b/src/relay/gateway_host_pools.cc
@@ -37,7 +37,7 @@
   return budget.get();
 }
 
-StagePool* GatewayHost::Impl::PoolOf(const PoolPart& partition) {
+StagePool* GatewayHost::Impl::PoolOf(const PoolPartition& partition) {
   auto& pool = pools_[partition];
   if (!pool) {
     const auto& config = view_.config();
@@ -68,7 +68,7 @@
   for (const auto& [partition, pool] : pools_) {
     if (pool->tasks() > 0 &&
         view_.BelongsElsewhere(partition, settings_.internal_listen_)) {
-      pool->HandBackWaiting();
+      pool->ReturnUnsentTasks();
     }
   }
 }
--- a/src/relay/owner_table.cc
+++ b/src/relay/owner_table.cc
@@ -27,22 +27,23 @@
   lost_until_[endpoint] = now + kExclusionTime;
 }
 
-bool OwnerTable::IsOwnerLost(const PoolPart& partition, TimePoint now) const {
+bool OwnerTable::IsOwnerLost(const PoolPartition& partition,
+                             TimePoint now) const {
   const auto named = view_->owners().find(partition);
   return named != view_->owners().end() && IsExcluded(named->second, now);
 }
 
-PoolPart OwnerTable::PartitionFor(const std::string& service,
-                                  const std::string& failure_domain,
-                                  uint64_t spread,
-                                  TimePoint now) const {
-  const std::vector<PoolPart> partitions = view_->PartitionsOf(service);
+PoolPartition OwnerTable::PartitionFor(const std::string& service,
+                                       const std::string& failure_domain,
+                                       uint64_t spread,
+                                       TimePoint now) const {
+  const std::vector<PoolPartition> partitions = view_->PartitionsOf(service);
   if (partitions.size() == 1) {
     return partitions.front();
   }
-  const PoolPart wanted = view_->PartitionIn(service, failure_domain);
-  std::vector<PoolPart> usable;
-  for (const PoolPart& partition : partitions) {
+  const PoolPartition wanted = view_->PartitionIn(service, failure_domain);
+  std::vector<PoolPartition> usable;
+  for (const PoolPartition& partition : partitions) {
     if (IsOwnerLost(partition, now)) {
       continue;
     }
@@ -51,11 +52,11 @@
     }
     usable.push_back(partition);
   }
-  const std::vector<PoolPart>& from = usable.empty() ? partitions : usable;
+  const std::vector<PoolPartition>& from = usable.empty() ? partitions : usable;
   return from[spread % from.size()];
 }
 
-std::string OwnerTable::OwnerOf(const PoolPart& partition,
+std::string OwnerTable::OwnerOf(const PoolPartition& partition,
                                 TimePoint now) const {
   const PoolAssignment::Owners& owners = view_->owners();
   const auto named = owners.find(partition);
--- a/src/relay/relay_request.cc
+++ b/src/relay/relay_request.cc
@@ -63,7 +63,7 @@
   service_ = job_->config_->FindService(ServiceName());
   router_ = context_->router_(*service_);
   budget_ = context_->budget_(service_->name_);
-  budget_->OnFirst(SteadyNow());
+  budget_->OnFirstSend(SteadyNow());
   if (CanFinishInTime() && RunStages()) {
     RunAttempts();
   }
--- a/src/relay/relay_request_server.cc
+++ b/src/relay/relay_request_server.cc
@@ -86,7 +86,7 @@
 
 // Failure domain of the engine that should hold the prompt's shared segments.
 std::string RelayRequest::PreferredPromptDomain() {
-  return router_->HomeDomain(SteadyNow(), RouterCall());
+  return router_->PreferredFailureDomain(SteadyNow(), RouterCall());
 }
 
 EngineRouter::Call RelayRequest::RouterCall() const {
@@ -94,9 +94,9 @@
   call.prompt_ = job_->head_.prompt_;
   call.near_ = near_domain_;
   call.input_bytes_ = stages_.InputBytes();
-  call.sees_all_ = engine_.is_placed_here();
+  call.sees_all_requests_ = engine_.is_placed_here();
   if (engine_.is_placed_here()) {
-    call.only_in_ = engine_.partition().failure_domain_;
+    call.required_domain_ = engine_.partition().failure_domain_;
   }
   return call;
 }
--- a/src/relay/server_attempt.cc
+++ b/src/relay/server_attempt.cc
@@ -43,7 +43,7 @@
   if (reply.request_id_ == request_id) {
     return ReplyOwner::kThisCall;
   }
-  if (!reply.request_id_.empty() || head.kept_connection_) {
+  if (!reply.request_id_.empty() || head.reused_connection_) {
     return ReplyOwner::kOtherCall;
   }
   // This is the first reply on the connection. A server that could not read the
@@ -64,15 +64,16 @@
                    const ServerAttempt::Names& names,
                    const StageReplyHead& head,
                    const ServerReplyHead& reply) {
-  context.log_->Write("relay", "reply of another request",
-                      {{"request", names.request_id_},
-                       {"server", names.server_},
-                       {"reply_to", reply.request_id_},
-                       {"status", head.status_},
-                       {"not_run", reply.not_run_ ? "yes" : "no"},
-                       {"why", MismatchReason(reply)},
-                       {"sealed", reply.sealed_ ? "yes" : "no"},
-                       {"connection", head.kept_connection_ ? "kept" : "new"}});
+  context.log_->Write(
+      "relay", "reply of another request",
+      {{"request", names.request_id_},
+       {"server", names.server_},
+       {"reply_to", reply.request_id_},
+       {"status", head.status_},
+       {"not_run", reply.not_run_ ? "yes" : "no"},
+       {"why", MismatchReason(reply)},
+       {"sealed", reply.sealed_ ? "yes" : "no"},
+       {"connection", head.reused_connection_ ? "kept" : "new"}});
   context.metrics_->Count(kOtherRepliesTotal,
                           {MismatchReason(reply), names.service_});
 }
--- a/src/relay/service_router.cc
+++ b/src/relay/service_router.cc
@@ -69,9 +69,11 @@
   return choice ? std::optional(choice->server_) : std::nullopt;
 }
 
-std::string ServiceRouter::HomeDomain(TimePoint now,
-                                      const EngineRouter::Call& call) {
-  return has_engines_ ? engines_.HomeDomain(now, call) : std::string();
+std::string ServiceRouter::PreferredFailureDomain(
+    TimePoint now,
+    const EngineRouter::Call& call) {
+  return has_engines_ ? engines_.PreferredFailureDomain(now, call)
+                      : std::string();
 }
 
 void ServiceRouter::Expect(std::string_view server,
--- a/src/relay/stage_owners.cc
+++ b/src/relay/stage_owners.cc
@@ -62,7 +62,7 @@
   }
 }
 
-PoolPart StageOwners::PartitionOf(uint64_t number, const Job& job) const {
+PoolPartition StageOwners::PartitionOf(uint64_t number, const Job& job) const {
   return owners_.PartitionFor(job.service_, job.failure_domain_, number,
                               SteadyNow());
 }
--- a/src/relay/stage_owners_free.cc
+++ b/src/relay/stage_owners_free.cc
@@ -22,7 +22,7 @@
 
 void StageOwners::Free(const std::string& service,
                        absl::Span<const std::string> handles) {
-  std::map<PoolPart, std::vector<std::string>> by_partition;
+  std::map<PoolPartition, std::vector<std::string>> by_partition;
   for (const std::string& handle : handles) {
     by_partition[ProducerPartition(service, handle)].push_back(handle);
   }
@@ -34,16 +34,16 @@
 
 // Any partition can free the result of a producer that is no longer in the
 // list.
-PoolPart StageOwners::ProducerPartition(const std::string& service,
-                                        const std::string& handle) const {
-  const BackendServer* producer = view_->ServerAt(MakerAddress(handle));
+PoolPartition StageOwners::ProducerPartition(const std::string& service,
+                                             const std::string& handle) const {
+  const BackendServer* producer = view_->ServerAt(ProducerAddress(handle));
   return producer == nullptr || producer->service_ != service
              ? view_->PartitionsOf(service).front()
              : view_->PartitionIn(service, producer->failure_domain_);
 }
 
 void StageOwners::SendFree(TimePoint first_sent,
-                           const PoolPart& partition,
+                           const PoolPartition& partition,
                            absl::Span<const std::string> handles) {
   const std::string owner = owners_.OwnerOf(partition, SteadyNow());
   if (owner == owners_.own_endpoint()) {
--- a/src/relay/stage_owners_serve.cc
+++ b/src/relay/stage_owners_serve.cc
@@ -47,7 +47,7 @@
   const auto& announcement = frame.announcement();
   const ServedKey key{channel.get(), announcement.job()};
   DropAnnouncement(key);
-  const PoolPart partition = DecodePartition(announcement);
+  const PoolPartition partition = DecodePartition(announcement);
   StagePool* pool = pool_(partition);
   if (pool == nullptr) {
     return;
@@ -102,7 +102,7 @@
     result->set_not_run(outcome.not_run_);
     open->Send(reply);
   };
-  const PoolPart partition = DecodePartition(job);
+  const PoolPartition partition = DecodePartition(job);
   StagePool* pool = pool_(partition);
   if (pool == nullptr) {
     StageOutcome outcome;
--- a/src/relay/stage_pool.cc
+++ b/src/relay/stage_pool.cc
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-StagePool::StagePool(PoolPart partition,
+StagePool::StagePool(PoolPartition partition,
                      const StagePoolSpec& spec,
                      const RepeatBudget::Options& budget,
                      const FleetView* view,
@@ -57,7 +57,7 @@
                            Done done,
                            InputsTaken inputs_taken) {
   const TimePoint now = SteadyNow();
-  budget_.OnFirst(now);
+  budget_.OnFirstSend(now);
   const uint64_t number = batcher_.Add(std::move(task), now);
   waiting_[number] = Waiting{std::move(done), std::move(inputs_taken)};
   Pump(now);
@@ -74,8 +74,8 @@
   Pump(SteadyNow());
 }
 
-void StagePool::HandBackWaiting() {
-  batcher_.HandBackWaiting();
+void StagePool::ReturnUnsentTasks() {
+  batcher_.ReturnUnsentTasks();
   Pump(SteadyNow());
 }
 
@@ -219,10 +219,10 @@
     return ReplyOwner::kThisCall;
   }
   // The first reply on a connection cannot belong to another call.
-  if (match == StageReplyCheck::Match::kMayBeOthers || !head.kept_connection_) {
+  if (match == StageReplyCheck::Match::kAmbiguous || !head.reused_connection_) {
     return ReplyOwner::kAssumed;
   }
-  const bool was_seen = match == StageReplyCheck::Match::kSeenBefore;
+  const bool was_seen = match == StageReplyCheck::Match::kDuplicateHandle;
   log_->Write("stages", "reply of another call",
               {{"service", name_},
                {"server", server},
@@ -253,7 +253,7 @@
                {"pieces", static_cast<uint64_t>(results.size())},
                {"late", count(Outcome::kLate)},
                {"input_gone", count(Outcome::kInputGone)},
-               {"no_room", count(Outcome::kNoRoom)},
+               {"no_room", count(Outcome::kOutOfCapacity)},
                {"failed", count(Outcome::kFailed)}});
 }
 
@@ -276,7 +276,7 @@
 }
 
 void StagePool::SendUnwanted(TimePoint now) {
-  for (auto& [address, handles] : batcher_.TakeUnwanted()) {
+  for (auto& [address, handles] : batcher_.TakeDiscardedResults()) {
     StageCallSpec spec = SpecFor(address, "POST", dialect_->free_results_path_,
                                  now + kFreeTimeout);
     // A late duplicate reply could be mistaken for that of a stage call.
--- a/src/relay/stage_runner.cc
+++ b/src/relay/stage_runner.cc
@@ -189,7 +189,7 @@
 void StageRunner::AddBytes(size_t index,
                            std::map<std::string, uint64_t>* bytes) const {
   for (const std::string& handle : stages_[index].handles_) {
-    (*bytes)[view_->DomainAt(MakerAddress(handle))] +=
+    (*bytes)[view_->DomainAt(ProducerAddress(handle))] +=
         job_->route_->stages_[index].result_bytes_;
   }
 }
--- a/src/relay/stage_runner_announce.cc
+++ b/src/relay/stage_runner_announce.cc
@@ -36,7 +36,7 @@
     if (stages_[i].pieces_ == 0) {
       continue;
     }
-    for (const PoolPart& partition :
+    for (const PoolPartition& partition :
          view_->PartitionsOf(job_->route_->stages_[i].service_)) {
       if (partition.IsDomainPartition() &&
           partition.failure_domain_ != failure_domain_) {
--- a/src/relay/stage_runner_estimates.cc
+++ b/src/relay/stage_runner_estimates.cc
@@ -64,8 +64,8 @@
   return stages_[index].handles_.empty() || service == nullptr ||
                  !service->stage_pool_
              ? TimePoint::max()
-             : stages_[index].done_at_ + service->stage_pool_->result_life_ -
-                   kExpiryMargin;
+             : stages_[index].done_at_ +
+                   service->stage_pool_->result_lifetime_ - kExpiryMargin;
 }
 
 bool StageRunner::HasTimeToRerun() const {
--- a/src/routing/engine_router.cc
+++ b/src/routing/engine_router.cc
@@ -33,7 +33,7 @@
 
 uint32_t AllTokens(const EngineRouter::Call& call) {
   uint32_t tokens = 0;
-  for (const PromptPart& part : call.prompt_) {
+  for (const PromptSegment& part : call.prompt_) {
     tokens += part.tokens_;
   }
   return tokens;
@@ -129,7 +129,8 @@
   std::vector<const Engine*> suspended;
   for (const auto& [id, engine] : engines_) {
     const bool is_excluded =
-        (!call.only_in_.empty() && engine.failure_domain_ != call.only_in_) ||
+        (!call.required_domain_.empty() &&
+         engine.failure_domain_ != call.required_domain_) ||
         std::find(excluded.begin(), excluded.end(), id) != excluded.end();
     if (!engine.leaving_ && !is_excluded) {
       (engine.suspended_until_ > now ? suspended : usable).push_back(&engine);
@@ -138,14 +139,14 @@
   // When all are suspended, one of them is better than none.
   const auto& candidates = usable.empty() ? suspended : usable;
   const Engine* preferred = PreferredEngine(candidates, call);
-  const bool is_warm = call.sees_all_ && IsWarm(now, call);
+  const bool is_warm = call.sees_all_requests_ && IsWarm(now, call);
   const double shared = AllTokens(call) - OwnTokens(call);
   const Engine* best = nullptr;
   double least = std::numeric_limits<double>::max();
   for (const Engine* engine : candidates) {
     const bool is_preferred = engine == preferred;
     const bool is_cached =
-        call.sees_all_
+        call.sees_all_requests_
             ? engine->segment_last_use_.count(SharedSegmentId(call)) != 0
             : is_preferred;
     const double prefill = OwnTokens(call) + (is_cached ? 0 : shared);
@@ -164,7 +165,8 @@
   return best == nullptr ? std::nullopt : std::optional(best->id_);
 }
 
-std::string EngineRouter::HomeDomain(TimePoint now, const Call& call) {
+std::string EngineRouter::PreferredFailureDomain(TimePoint now,
+                                                 const Call& call) {
   const auto id = Choose(now, call, {});
   return id ? Find(*id)->failure_domain_ : std::string();
 }
--- a/src/routing/repeat_budget.cc
+++ b/src/routing/repeat_budget.cc
@@ -13,7 +13,7 @@
 
 RepeatBudget::RepeatBudget(const Options& options) : options_(options) {}
 
-void RepeatBudget::OnFirst(TimePoint now) {
+void RepeatBudget::OnFirstSend(TimePoint now) {
   Expire(now);
   first_.push_back(now);
 }
--- a/src/stages/stage_batcher.cc
+++ b/src/stages/stage_batcher.cc
@@ -111,7 +111,7 @@
 
 uint64_t StageBatcher::FreeCapacity(const Server& server) const {
   const auto capacity = static_cast<uint64_t>(
-      static_cast<double>(spec_.room_bytes_) * kUsableCapacityRatio);
+      static_cast<double>(spec_.result_capacity_bytes_) * kUsableCapacityRatio);
   const uint64_t used = server.held_bytes_ + server.reserved_bytes_;
   return used >= capacity ? 0 : capacity - used;
 }
@@ -178,7 +178,8 @@
   const uint64_t bytes = task.waiting_ * task.task_.result_bytes_;
   return task.waiting_ > spec_.batch_ ||
          static_cast<double>(bytes) >
-             static_cast<double>(spec_.room_bytes_) * kUsableCapacityRatio;
+             static_cast<double>(spec_.result_capacity_bytes_) *
+                 kUsableCapacityRatio;
 }
 
 // Pieces of one task share a call: the results of some would occupy capacity
--- a/src/stages/stage_batcher_results.cc
+++ b/src/stages/stage_batcher_results.cc
@@ -139,7 +139,7 @@
     case Outcome::kInputGone:
       End(number, StageOutcome::Result::kInputGone);
       return;
-    case Outcome::kNoRoom:
+    case Outcome::kOutOfCapacity:
       if (server != nullptr) {
         OnOutOfCapacity(server, bytes, now);
       }
@@ -155,7 +155,7 @@
                                     const std::string& handle,
                                     uint64_t bytes,
                                     TimePoint now) {
-  server->results_[handle] = Result{bytes, now + spec_.result_life_};
+  server->results_[handle] = Result{bytes, now + spec_.result_lifetime_};
   server->held_bytes_ += bytes;
   holders_[handle] = server->id_;
 }
@@ -177,11 +177,11 @@
                                    TimePoint now) {
   server->suspended_until_ = now + kRefusalPause;
   const bool may_be_left =
-      taken_over_ && now - *taken_over_ < spec_.result_life_;
+      taken_over_ && now - *taken_over_ < spec_.result_lifetime_;
   if (may_be_left && !server->has_reserved_for_previous_owner_) {
     server->has_reserved_for_previous_owner_ = true;
-    OccupyCapacity(server, spec_.room_bytes_ / 2,
-                   *taken_over_ + spec_.result_life_);
+    OccupyCapacity(server, spec_.result_capacity_bytes_ / 2,
+                   *taken_over_ + spec_.result_lifetime_);
   } else if (!may_be_left) {
     OccupyCapacity(server, bytes, now + kUnknownResultTime);
   }
@@ -223,7 +223,7 @@
   SetWaiting(&it->second, &piece, true);
 }
 
-void StageBatcher::HandBackWaiting() {
+void StageBatcher::ReturnUnsentTasks() {
   std::vector<uint64_t> unsent;
   for (const auto& [number, task] : tasks_) {
     if (HasNotRun(task)) {
@@ -250,7 +250,8 @@
       Suspend(server, now);
     }
     if (failure == CallFailure::kLost) {
-      OccupyCapacity(server, call.reserved_bytes_, now + spec_.result_life_);
+      OccupyCapacity(server, call.reserved_bytes_,
+                     now + spec_.result_lifetime_);
     }
   }
   for (const auto& [task, piece] : call.pieces_) {
@@ -302,7 +303,8 @@
   return std::exchange(outcomes_, {});
 }
 
-std::map<std::string, std::vector<std::string>> StageBatcher::TakeUnwanted() {
+std::map<std::string, std::vector<std::string>>
+StageBatcher::TakeDiscardedResults() {
   return std::exchange(discarded_, {});
 }
 
@@ -313,7 +315,7 @@
 }
 
 void StageBatcher::Discard(const std::string& handle) {
-  discarded_[std::string(MakerAddress(handle))].push_back(handle);
+  discarded_[std::string(ProducerAddress(handle))].push_back(handle);
   const auto holder = holders_.find(handle);
   if (holder == holders_.end()) {
     return;
--- a/src/stages/stage_reply_check.cc
+++ b/src/stages/stage_reply_check.cc
@@ -40,12 +40,11 @@
     } else if (known->second == HashOf(pieces[i])) {
       has_known_handle = true;
     } else {
-      return Match::kSeenBefore;
+      return Match::kDuplicateHandle;
     }
   }
   Remember(results, pieces, now);
-  return has_new_handle && !has_known_handle ? Match::kOwn
-                                             : Match::kMayBeOthers;
+  return has_new_handle && !has_known_handle ? Match::kOwn : Match::kAmbiguous;
 }
 
 void StageReplyCheck::Expire(TimePoint now) {
--- a/src/storage/recover.cc
+++ b/src/storage/recover.cc
@@ -96,14 +96,14 @@
                 std::to_string(snapshot.membership_.voters_.size()) +
                 " voters, and " + std::to_string(state.entries_.size()) +
                 " entries after it.");
-  if (state.cut_.empty()) {
+  if (state.truncation_.empty()) {
     report->finding_ = Finding::kHealthy;
     report->lines_.emplace_back("Nothing to do: the node can start.");
     return;
   }
   report->finding_ = Finding::kTornTail;
-  report->lines_.push_back("The next start repairs the log by " + state.cut_ +
-                           ".");
+  report->lines_.push_back("The next start repairs the log by " +
+                           state.truncation_ + ".");
   report->lines_.emplace_back(
       "This loses no acknowledged data: the node can start.");
 }
--- a/src/storage/replica_storage.cc
+++ b/src/storage/replica_storage.cc
@@ -53,7 +53,7 @@
   StoredState state;
   state.incarnation_ = incarnation_;
   state.hard_state_ = log->hard_state_;
-  state.cut_ = log->cut_;
+  state.truncation_ = log->truncation_;
   LogReader merged;
   merged.log() = std::move(*log);
   merged.ApplySnapshotMark(snapshot->index_, snapshot->term_);
--- a/src/storage/write_ahead_log.cc
+++ b/src/storage/write_ahead_log.cc
@@ -85,10 +85,10 @@
     }
     segment.max_index_ = reader.segment_max_index();
     if (*valid_bytes < data->size()) {
-      reader.log().cut_ = "truncating a torn tail of " +
-                          std::to_string(data->size() - *valid_bytes) +
-                          " bytes in " + path + " at offset " +
-                          std::to_string(*valid_bytes);
+      reader.log().truncation_ = "truncating a torn tail of " +
+                                 std::to_string(data->size() - *valid_bytes) +
+                                 " bytes in " + path + " at offset " +
+                                 std::to_string(*valid_bytes);
       if (!files_.truncate_(path, *valid_bytes, error)) {
         return false;
       }
--- a/src/transport/admin_server.cc
+++ b/src/transport/admin_server.cc
@@ -50,7 +50,7 @@
                     cxxtools::http::Request& request) override {
     cxxtools::http::Responder::beginRequest(socket, in, request);
     body_.clear();
-    is_cut_ = false;
+    is_truncated_ = false;
   }
 
   // Reads the body to its end, but keeps at most kMaxBodyBytes, so that the
@@ -61,7 +61,7 @@
     const auto read = static_cast<size_t>(std::max<std::streamsize>(count, 0));
     const size_t kept = std::min(read, kMaxBodyBytes - body_.size());
     body_.append(bytes.data(), kept);
-    is_cut_ = is_cut_ || kept < read;
+    is_truncated_ = is_truncated_ || kept < read;
     return read;
   }
 
@@ -74,7 +74,7 @@
     call.query_ = request.qparams();
     call.authorization_ = HeaderOf(request, "Authorization");
     call.body_ = std::move(body_);
-    call.is_cut_ = is_cut_;
+    call.is_truncated_ = is_truncated_;
     const AdminResponse response = handler_(call);
     reply.httpReturn(static_cast<unsigned>(response.status_),
                      response.status_ < kFirstError ? "OK" : "Error");
@@ -94,7 +94,7 @@
 
   const AdminServer::Handler& handler_;
   std::string body_;
-  bool is_cut_ = false;
+  bool is_truncated_ = false;
 };
 
 /// Calls the handler until it is closed. After that, requests get status 503
--- a/src/transport/replication_server.cc
+++ b/src/transport/replication_server.cc
@@ -61,7 +61,7 @@
     uint64_t node = 0;
     std::from_chars(id.data(), id.data() + id.size(), node);
     if (node != 0 && !address.empty()) {
-      hooks_.peer_seen_(node, std::string(address));
+      hooks_.peer_contacted_(node, std::string(address));
     }
     return new Receiver(hooks_);
   }
--- a/src/transport/stage_client.cc
+++ b/src/transport/stage_client.cc
@@ -101,7 +101,7 @@
       connection_ = pool_->TakeIdle(
           key_, spec_.max_idle_time_.value_or(pool_->limits().idle_timeout_));
       if (connection_) {
-        kept_connection_ = true;
+        reused_connection_ = true;
         return true;
       }
     }
@@ -165,7 +165,7 @@
         return false;
       }
       head_ = detail::ReadHead((*parser)->get());
-      head_.kept_connection_ = kept_connection_;
+      head_.reused_connection_ = reused_connection_;
       if (head_.status_ < kFirstFinalStatus) {
         continue;
       }
@@ -353,7 +353,7 @@
   ConnectionPtr connection_;
   /// Head of the current reply.
   StageReplyHead head_;
-  bool kept_connection_ = false;
+  bool reused_connection_ = false;
   bool may_keep_ = true;
   bool ended_ = false;
 };
--- a/tests/support/press_config.h
+++ b/tests/support/press_config.h
@@ -15,8 +15,8 @@
   StagePoolSpec spec;
   spec.batch_ = batch;
   spec.call_time_ = std::chrono::milliseconds(20);
-  spec.room_bytes_ = 1000;
-  spec.result_life_ = std::chrono::seconds(4);
+  spec.result_capacity_bytes_ = 1000;
+  spec.result_lifetime_ = std::chrono::seconds(4);
   return spec;
 }
 
--- a/tests/support/raw_call.cc
+++ b/tests/support/raw_call.cc
@@ -7,7 +7,7 @@
 
 namespace citronlane {
 
-std::string Raw(uint16_t port, const std::string& text) {
+std::string SendRaw(uint16_t port, const std::string& text) {
   namespace asio = boost::asio;
   asio::io_context io;
   asio::ip::tcp::socket socket(io);
--- a/tests/support/raw_call.h
+++ b/tests/support/raw_call.h
@@ -8,7 +8,7 @@
 
 /// Sends bytes to a port of 127.0.0.1 and returns everything received until the
 /// peer closes the connection. Thread safe.
-std::string Raw(uint16_t port, const std::string& text);
+std::string SendRaw(uint16_t port, const std::string& text);
 
 }  // namespace citronlane
 
--- a/tests/support/relay_gateway.h
+++ b/tests/support/relay_gateway.h
@@ -106,9 +106,10 @@
                  [] { return int64_t{0}; }}};
   Metrics metrics_;
   std::map<std::string, std::unique_ptr<StagePool>> pools_;
-  StageOwners owners_{
-      io_, "127.0.0.1:1", &view_, &log_,
-      [this](const PoolPart& part) { return pools_[part.service_].get(); }};
+  StageOwners owners_{io_, "127.0.0.1:1", &view_, &log_,
+                      [this](const PoolPartition& part) {
+                        return pools_[part.service_].get();
+                      }};
   ServiceRouter router_;
   RepeatBudget budget_{Budget()};
   RelayContext context_;
--- a/tests/unit-answered-once.cc
+++ b/tests/unit-answered-once.cc
@@ -186,9 +186,9 @@
   REQUIRE(listener.Listen("127.0.0.1", 0, &error));
   std::thread thread([&io] { io.run(); });
   const std::string got =
-      Raw(listener.port(),
-          "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
-          "GET /b HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+      SendRaw(listener.port(),
+              "GET /a HTTP/1.1\r\nHost: h\r\n\r\n"
+              "GET /b HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   listener.StopAccepting();
   io.stop();
   thread.join();
--- a/tests/unit-caller-framing.cc
+++ b/tests/unit-caller-framing.cc
@@ -33,8 +33,8 @@
   REQUIRE(listener.Listen("127.0.0.1", 0, &error));
   std::thread thread([&io] { io.run(); });
   const std::string answer =
-      Raw(listener.port(),
-          "HEAD /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+      SendRaw(listener.port(),
+              "HEAD /x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
   const size_t end = answer.find("\r\n\r\n");
   CHECK(answer.substr(0, 12) == "HTTP/1.1 200");
   REQUIRE(end != std::string::npos);
--- a/tests/unit-config-lease.cc
+++ b/tests/unit-config-lease.cc
@@ -168,7 +168,7 @@
   SECTION("a removed gateway may still hold its lease") {
     tracker.OnReport("a", 1, 7);
     tracker.OnReport("b", 1, 7);
-    tracker.OnForgotten("b", 1, At(11000));
+    tracker.OnRemoved("b", 1, At(11000));
     tracker.OnCommitted(8, At(11500));
     tracker.OnReport("a", 1, 8);
     CHECK_FALSE(tracker.StatusOf(8, At(11600)).in_force_);
--- a/tests/unit-engine-placement.cc
+++ b/tests/unit-engine-placement.cc
@@ -108,7 +108,8 @@
   };
   const auto ask = [&](Gateway* gateway, Purpose purpose, uint32_t tokens,
                        std::string* server) {
-    const std::vector<PromptPart> prompt = {{"shared", 100}, {"own", tokens}};
+    const std::vector<PromptSegment> prompt = {{"shared", 100},
+                                               {"own", tokens}};
     EngineRouter::Call call;
     call.prompt_ = prompt;
     const uint64_t question = gateway->placement_.RequestEngine(
@@ -203,8 +204,8 @@
   Gateway owner_a(&io, endpoint_a, endpoint_a);
   auto owner_b = std::make_unique<Gateway>(&io, endpoint_b, endpoint_b);
   Gateway requester(&io, FreeEndpoint(&io), endpoint_a);
-  const PoolPart partition_a(kService, "a");
-  const PoolPart partition_b(kService, "b");
+  const PoolPartition partition_a(kService, "a");
+  const PoolPartition partition_b(kService, "b");
   std::vector<BackendServer> servers;
   for (const char* name : {"a0", "a1", "b0", "b1"}) {
     BackendServer server;
@@ -224,7 +225,7 @@
       return condition();
     });
   };
-  const auto place_in = [&](const PoolPart& partition) {
+  const auto place_in = [&](const PoolPartition& partition) {
     std::string server;
     requester.placement_.RequestEngine(
         Purpose::kStart, partition, EngineRouter::Call(), {},
--- a/tests/unit-gateway.cc
+++ b/tests/unit-gateway.cc
@@ -117,7 +117,7 @@
   };
   for (const auto& [text, status] : cases) {
     INFO(text.substr(0, 120));
-    CHECK(Raw(running.gateway_.port(), text).substr(9, 3) == status);
+    CHECK(SendRaw(running.gateway_.port(), text).substr(9, 3) == status);
   }
   CHECK(running.Ask("still here?").result_int() == 200);
 }
@@ -137,7 +137,7 @@
   char byte = 0;
   asio::read(slow, asio::buffer(&byte, 1));  // its bytes are reserved
   const std::string refused =
-      Raw(running.gateway_.port(), head + "900\r\n\r\n");
+      SendRaw(running.gateway_.port(), head + "900\r\n\r\n");
   CHECK(refused.find("body_memory_exhausted") != std::string::npos);
   slow.close();
   CHECK(Eventually([&] { return running.Ask("again").result_int() == 200; }));
--- a/tests/unit-orders.cc
+++ b/tests/unit-orders.cc
@@ -75,7 +75,7 @@
   int64_t now = 0;
   for (uint64_t number = 1; number <= 8; ++number) {
     OrderGate gate(options);
-    gate.OnLead(number, At(now));
+    gate.OnLeadershipGained(number, At(now));
     const int64_t start = now;
     const int64_t term_end = now + below(6000);
     for (now = start; now < term_end; now += 1 + below(100)) {
@@ -177,14 +177,14 @@
 
 TEST_CASE("order gate") {
   OrderGate gate{OrderGateOptions()};
-  gate.OnLead(3, At(1000));
+  gate.OnLeadershipGained(3, At(1000));
 
   SECTION("an order needs its number, the lease and its validity") {
     CHECK(gate.SendUntil(3, At(5000), At(5100), true) == At(7000));
     CHECK_FALSE(gate.SendUntil(2, At(5000), At(5100), true));
     CHECK_FALSE(gate.SendUntil(3, At(5000), At(5100), false));
     CHECK_FALSE(gate.SendUntil(3, At(5000), At(7000), true));
-    gate.OnLeadLost();
+    gate.OnLeadershipLost();
     CHECK_FALSE(gate.SendUntil(3, At(5000), At(5100), true));
   }
   SECTION("a new leader waits for engines that do not check the number") {
--- a/tests/unit-platform.cc
+++ b/tests/unit-platform.cc
@@ -103,8 +103,8 @@
     const StagePoolSpec& pool = *config->FindService("p")->stage_pool_;
     CHECK(pool.batch_ == 12);
     CHECK(pool.call_time_ == milliseconds(200));
-    CHECK(pool.room_bytes_ == 27000000);
-    CHECK(pool.result_life_ == std::chrono::seconds(4));
+    CHECK(pool.result_capacity_bytes_ == 27000000);
+    CHECK(pool.result_lifetime_ == std::chrono::seconds(4));
     CHECK(config->FindAccount("k2")->name_ == "t");
     CHECK(config->FindAccount("k2")->priority_ == 1U);
     CHECK_FALSE(config->FindAccount("k3")->priority_);
@@ -178,7 +178,7 @@
     CHECK(head.time_left_ == milliseconds(6000));
     CHECK(head.account_key_ == "secret");
     CHECK(head.prompt_tokens_ == 1460);
-    CHECK(head.most_output_tokens_ == 80);
+    CHECK(head.max_output_tokens_ == 80);
     CHECK(head.expected_output_tokens_ == 33);
     REQUIRE(head.prompt_.size() == 3);
     CHECK(head.prompt_[1].id_ == "91bd");
@@ -400,7 +400,7 @@
     CHECK((*results)[0].outcome_ == Outcome::kDone);
     CHECK((*results)[1].outcome_ == Outcome::kInputGone);
     CHECK((*results)[2].outcome_ == Outcome::kLate);
-    CHECK((*results)[3].outcome_ == Outcome::kNoRoom);
+    CHECK((*results)[3].outcome_ == Outcome::kOutOfCapacity);
     CHECK((*results)[4].outcome_ == Outcome::kFailed);
     CHECK((*results)[5].outcome_ == Outcome::kFailed);
     CHECK_FALSE(ReadStageReply("<html>", &error));
--- a/tests/unit-pool-assignment.cc
+++ b/tests/unit-pool-assignment.cc
@@ -24,8 +24,8 @@
 }
 
 // Undivided pools of services with one-letter names.
-std::vector<PoolPart> Services(char last) {
-  std::vector<PoolPart> services;
+std::vector<PoolPartition> Services(char last) {
+  std::vector<PoolPartition> services;
   for (char name = 'a'; name <= last; ++name) {
     services.emplace_back(std::string(1, name));
   }
--- a/tests/unit-pool-parts.cc
+++ b/tests/unit-pool-parts.cc
@@ -44,15 +44,15 @@
   return servers;
 }
 
-std::vector<PoolPart> DivideStage(const Counts& counts,
-                                  const Owners& held = {}) {
+std::vector<PoolPartition> DivideStage(const Counts& counts,
+                                       const Owners& held = {}) {
   const std::vector<PooledService> services{{kStage, false}};
   return DividePools(services, ServersIn(kStage, counts), held);
 }
 
-Owners OwnersOf(const std::vector<PoolPart>& partitions) {
+Owners OwnersOf(const std::vector<PoolPartition>& partitions) {
   Owners owners;
-  for (const PoolPart& partition : partitions) {
+  for (const PoolPartition& partition : partitions) {
     owners[partition] = "g" + std::to_string(owners.size());
   }
   return owners;
@@ -73,29 +73,29 @@
 }  // namespace
 
 TEST_CASE("pools are divided") {
-  const std::vector<PoolPart> by_domain{
+  const std::vector<PoolPartition> by_domain{
       {kStage, "a"}, {kStage, "b"}, {kStage, "c"}};
 
   SECTION("not while they are small") {
     CHECK(DivideStage({{"a", 6}, {"b", 6}, {"c", 6}}) ==
-          std::vector<PoolPart>{kStage});
-    CHECK(DivideStage({}) == std::vector<PoolPart>{kStage});
+          std::vector<PoolPartition>{kStage});
+    CHECK(DivideStage({}) == std::vector<PoolPartition>{kStage});
   }
   SECTION("by failure domain if they are large") {
     CHECK(DivideStage({{"a", 9}, {"b", 9}, {"c", 9}}) == by_domain);
   }
   SECTION("except domains of few servers, which share a partition") {
     CHECK(DivideStage({{"a", 20}, {"b", 9}, {"c", 2}, {"d", 3}}) ==
-          std::vector<PoolPart>{{kStage, "a"}, {kStage, "b"}, kStage});
+          std::vector<PoolPartition>{{kStage, "a"}, {kStage, "b"}, kStage});
   }
   SECTION("and stay divided when some servers leave") {
     const Owners held = OwnersOf(by_domain);
     CHECK(DivideStage({{"a", 9}, {"b", 7}, {"c", 2}}, held) == by_domain);
     CHECK(DivideStage({{"a", 2}, {"b", 2}, {"c", 2}}, held) ==
-          std::vector<PoolPart>{kStage});
+          std::vector<PoolPartition>{kStage});
     // A domain without servers needs no owner.
     CHECK(DivideStage({{"a", 9}, {"b", 9}}, held) ==
-          std::vector<PoolPart>{{kStage, "a"}, {kStage, "b"}});
+          std::vector<PoolPartition>{{kStage, "a"}, {kStage, "b"}});
   }
   SECTION("without counting leaving servers") {
     auto servers = ServersIn(kStage, {{"a", 13}, {"b", 13}});
@@ -103,12 +103,13 @@
       servers[i].leaving_ = true;
     }
     const std::vector<PooledService> services{{kStage, false}};
-    CHECK(DividePools(services, servers, {}) == std::vector<PoolPart>{kStage});
+    CHECK(DividePools(services, servers, {}) ==
+          std::vector<PoolPartition>{kStage});
   }
   SECTION("with a higher limit for engines") {
     const std::vector<PooledService> services{{kEngines, true}};
     CHECK(DividePools(services, ServersIn(kEngines, {{"a", 30}, {"b", 30}}),
-                      {}) == std::vector<PoolPart>{kEngines});
+                      {}) == std::vector<PoolPartition>{kEngines});
     CHECK(DividePools(services, ServersIn(kEngines, {{"a", 60}, {"b", 60}}), {})
               .size() == 2);
   }
@@ -131,7 +132,7 @@
       view.SetServers(servers, TimePoint(seconds(1)));
       view.SetOwners(1, held);
       std::multiset<std::string> owned;
-      for (const PoolPart& partition : partitions) {
+      for (const PoolPartition& partition : partitions) {
         for (const BackendServer* server : view.ServersIn(partition)) {
           owned.insert(server->id_);
         }
@@ -201,7 +202,7 @@
     PoolAssignment assignment;
     TimePoint now{seconds(100)};
     assignment.StartLeading(now, 1);
-    const std::vector<PoolPart> partitions{
+    const std::vector<PoolPartition> partitions{
         {kStage, "a"}, {kStage, "c"}, {kEngines, "c"}};
     const auto gateways = Gateways(40);
     REQUIRE(assignment.Update(partitions, gateways, now + seconds(3)));
@@ -229,14 +230,15 @@
       {{"g1", "a", false}, {"g2", "b", false}, {"g9", "a", false}});
   OwnerTable table(&view, "g9");
   const TimePoint now{seconds(100)};
-  REQUIRE(table.PartitionFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
+  REQUIRE(table.PartitionFor(kStage, "a", 7, now) ==
+          PoolPartition(kStage, "a"));
   table.MarkLost("g1", now);
 
   SECTION("gets no other owner") {
     CHECK(table.OwnerOf({kStage, "a"}, now) == "g1");
   }
   SECTION("gets no work; the other partitions share it") {
-    std::map<PoolPart, int> chosen;
+    std::map<PoolPartition, int> chosen;
     for (uint64_t spread = 0; spread < 100; ++spread) {
       ++chosen[table.PartitionFor(kStage, "a", spread, now)];
     }
@@ -246,11 +248,12 @@
   }
   SECTION("is used again after a while, or once control names an owner") {
     CHECK(table.PartitionFor(kStage, "a", 7, now + seconds(3)) ==
-          PoolPart(kStage, "a"));
+          PoolPartition(kStage, "a"));
     Owners owners = view.owners();
     owners[{kStage, "a"}] = "g5";
     view.SetOwners(4, owners);
-    CHECK(table.PartitionFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
+    CHECK(table.PartitionFor(kStage, "a", 7, now) ==
+          PoolPartition(kStage, "a"));
     CHECK(table.OwnerOf({kStage, "a"}, now) == "g5");
   }
   SECTION("is used if there is no other partition") {
@@ -270,8 +273,8 @@
   view.SetOwners(3, {{{kStage, "a"}, "g1"}, {kStage, "g2"}});
   const OwnerTable table(&view, "g9");
   const TimePoint now{seconds(100)};
-  CHECK(table.PartitionFor(kStage, "d", 7, now) == PoolPart(kStage));
-  CHECK(table.PartitionFor(kStage, "a", 7, now) == PoolPart(kStage, "a"));
+  CHECK(table.PartitionFor(kStage, "d", 7, now) == PoolPartition(kStage));
+  CHECK(table.PartitionFor(kStage, "a", 7, now) == PoolPartition(kStage, "a"));
 }
 
 // After a power loss of all VMs no owners are named for a second, and one
@@ -293,13 +296,13 @@
     known.push_back({gateway.endpoint_, gateway.failure_domain_, false});
   }
   view.SetGateways(known);
-  CHECK(view.PartitionsOf(kStage) == std::vector<PoolPart>{kStage});
+  CHECK(view.PartitionsOf(kStage) == std::vector<PoolPartition>{kStage});
   const uint64_t before = view.partitions_number();
   view.SetServers(servers, TimePoint(seconds(1)));
   CHECK(view.partitions_number() > before);
   const auto partitions = view.PartitionsOf(kStage);
   CHECK(partitions.size() == 5);
-  CHECK(view.PartitionIn(kStage, "a") == PoolPart(kStage, "a"));
+  CHECK(view.PartitionIn(kStage, "a") == PoolPartition(kStage, "a"));
   CHECK(view.ServersIn({kStage, "a"}).size() == 9);
 
   SECTION("alike at all gateways and the first leader") {
@@ -310,7 +313,7 @@
     const OwnerTable one(&view, "g3");
     const OwnerTable other(&view, "g4");
     size_t same = 0;
-    for (const PoolPart& partition : partitions) {
+    for (const PoolPartition& partition : partitions) {
       CHECK(one.OwnerOf(partition, now) == other.OwnerOf(partition, now));
       same += one.OwnerOf(partition, now) == assignment.owners().at(partition)
                   ? 1
@@ -321,14 +324,14 @@
   }
   SECTION("and uses the owners that control names from then on") {
     view.SetOwners(1, {{kStage, "g7"}});
-    CHECK(view.PartitionsOf(kStage) == std::vector<PoolPart>{kStage});
-    CHECK(view.PartitionIn(kStage, "a") == PoolPart(kStage));
+    CHECK(view.PartitionsOf(kStage) == std::vector<PoolPartition>{kStage});
+    CHECK(view.PartitionIn(kStage, "a") == PoolPartition(kStage));
   }
 }
 
 TEST_CASE("work that waits in a partition belongs elsewhere") {
   FleetView view;
-  const PoolPart partition_a(kStage, "a");
+  const PoolPartition partition_a(kStage, "a");
 
   SECTION("not while no owner is named") {
     CHECK_FALSE(view.BelongsElsewhere(kStage, "g9"));
--- a/tests/unit-relay.cc
+++ b/tests/unit-relay.cc
@@ -72,7 +72,7 @@
       const bool is_busy = step / 1000 % 2 == 0;
       RepeatBudget& node = nodes[random() % kNodes];
       if (is_busy && random() % 2 == 0) {
-        node.OnFirst(now);
+        node.OnFirstSend(now);
         first.push_back(now);
       }
       if (node.TryTake(now, kNodes)) {
@@ -116,7 +116,7 @@
   EngineRouter router(seconds(10));
   router.Update(Pointers(servers));
   const TimePoint now{seconds(100)};
-  const std::vector<PromptPart> prompt = {
+  const std::vector<PromptSegment> prompt = {
       {"shared", 2000}, {"session", 4000}, {"own", 2000}};
   EngineRouter::Call call;
   call.prompt_ = prompt;
@@ -129,7 +129,7 @@
     CHECK(other.Choose(now, call, {}) == preferred);
     std::set<std::string> homes;
     for (int i = 0; i < 200; ++i) {
-      const std::vector<PromptPart> session = {
+      const std::vector<PromptSegment> session = {
           {"shared", 2000}, {"s" + std::to_string(i), 4000}, {"own", 2000}};
       EngineRouter::Call one;
       one.prompt_ = session;
@@ -297,10 +297,10 @@
   const auto servers = Engines(6);
   router.Update(Pointers(servers));
   const TimePoint now{seconds(100)};
-  const std::vector<PromptPart> prompt = {{"hot", 4000}, {"own", 2000}};
+  const std::vector<PromptSegment> prompt = {{"hot", 4000}, {"own", 2000}};
   EngineRouter::Call call;
   call.prompt_ = prompt;
-  call.sees_all_ = true;
+  call.sees_all_requests_ = true;
   const std::string keeper = *router.Choose(now, call, {});
   REQUIRE(router.OnStart(keeper, now, call) == 6000);
   router.OnFirstEvent(keeper, 6000);
@@ -313,7 +313,7 @@
       "a wait below four times the read time is preferred to a read "
       "elsewhere") {
     EngineRouter::Call queue;
-    const std::vector<PromptPart> other = {{"x", 10}, {"own", 1900}};
+    const std::vector<PromptSegment> other = {{"x", 10}, {"own", 1900}};
     queue.prompt_ = other;
     for (int i = 0; i < 9; ++i) {
       router.OnStart(keeper, now, queue);
@@ -331,10 +331,10 @@
     CHECK(*router.Choose(now + seconds(12), call, {}) != keeper);
   }
   SECTION("a long prompt goes where it delays few others") {
-    const std::vector<PromptPart> segments = {{"cold", 0}, {"own", 40000}};
+    const std::vector<PromptSegment> segments = {{"cold", 0}, {"own", 40000}};
     EngineRouter::Call large;
     large.prompt_ = segments;
-    large.sees_all_ = true;
+    large.sees_all_requests_ = true;
     const std::string preferred = *router.Choose(now, large, {});
     EngineRouter::Call small;
     for (const BackendServer& server : servers) {
@@ -352,7 +352,7 @@
   auto servers = Engines(3);
   router.Update(Pointers(servers));
   const TimePoint now{seconds(100)};
-  const std::vector<PromptPart> prompt = {{"hot", 4000}, {"own", 10}};
+  const std::vector<PromptSegment> prompt = {{"hot", 4000}, {"own", 10}};
   EngineRouter::Call call;
   call.prompt_ = prompt;
   const std::string preferred = *router.Choose(now, call, {});
--- a/tests/unit-reply-identity.cc
+++ b/tests/unit-reply-identity.cc
@@ -464,7 +464,7 @@
   CHECK(check.Take(reply, std::vector<StagePiece>{piece("a", 0), piece("b", 0)},
                    now) == Match::kOwn);
   CHECK(check.Take(reply, std::vector<StagePiece>{piece("a", 0), piece("c", 0)},
-                   now) == Match::kSeenBefore);
+                   now) == Match::kDuplicateHandle);
 }
 
 // Calls that free results share the connections of stage calls, and their
--- a/tests/unit-server-starts.cc
+++ b/tests/unit-server-starts.cc
@@ -32,7 +32,7 @@
 
 TEST_CASE("incarnations of backend servers") {
   using List = std::vector<std::string>;
-  ServerStarts incarnations;
+  ServerIncarnations incarnations;
   const TimePoint now{seconds(100)};
   CHECK(Ids(incarnations.Latest({Incarnation("a", 5), Incarnation("b", 5)},
                                 now)) == List{"a@5", "b@5"});
--- a/tests/unit-stage-domains.cc
+++ b/tests/unit-stage-domains.cc
@@ -90,7 +90,7 @@
   }
 
  private:
-  StagePool* PoolOf(const PoolPart& partition) {
+  StagePool* PoolOf(const PoolPartition& partition) {
     auto& pool = pools_[partition];
     if (!pool) {
       pool = std::make_unique<StagePool>(
@@ -111,10 +111,10 @@
   FleetView view_;
   std::shared_ptr<const ServingConfig> config_;
   RelayJob job_;
-  std::map<PoolPart, std::unique_ptr<StagePool>> pools_;
+  std::map<PoolPartition, std::unique_ptr<StagePool>> pools_;
   StageOwners owners_{
       &io_, kOwn, &view_, &log_,
-      [this](const PoolPart& partition) { return PoolOf(partition); }};
+      [this](const PoolPartition& partition) { return PoolOf(partition); }};
   std::unique_ptr<StageRunner> runner_;
 };
 
--- a/tests/unit-stage-owners.cc
+++ b/tests/unit-stage-owners.cc
@@ -221,7 +221,7 @@
                 endpoint,
                 &view_,
                 &log_,
-                [this](const PoolPart& partition) {
+                [this](const PoolPartition& partition) {
                   return partition == kService && runs_pools_ ? &pool_
                                                               : nullptr;
                 }),
@@ -1210,8 +1210,8 @@
   maker.address_ = "10.0.0.1:1";
   maker.failure_domain_ = "a";
   view.SetServers({maker}, SteadyNow());
-  const PoolPart partition_a(kService, "a");
-  const PoolPart partition_b(kService, "b");
+  const PoolPartition partition_a(kService, "a");
+  const PoolPartition partition_b(kService, "b");
   view.SetOwners(
       2, {{partition_a, owner_endpoint}, {partition_b, other_endpoint}});
   Gateway gateway(&net, FreeEndpoint(&net.io_), view);
@@ -1271,8 +1271,8 @@
     makers.push_back(maker);
   }
   view.SetServers(makers, SteadyNow());
-  view.SetOwners(2, {{PoolPart(kService, "a"), endpoint_a},
-                     {PoolPart(kService, "b"), endpoint_b}});
+  view.SetOwners(2, {{PoolPartition(kService, "a"), endpoint_a},
+                     {PoolPartition(kService, "b"), endpoint_b}});
   Gateway gateway(&net, FreeEndpoint(&net.io_), view);
   gateway.owners_.Free(kService, {"b:1/x", "a:1/y", "b:1/z"});
   REQUIRE(net.Until([&] {
--- a/tests/unit-stages.cc
+++ b/tests/unit-stages.cc
@@ -31,8 +31,8 @@
     spec.batch_ = 8;
     spec.call_time_ = milliseconds(200);
     spec.piece_time_ = milliseconds(10);
-    spec.room_bytes_ = 20000;
-    spec.result_life_ = seconds(4);
+    spec.result_capacity_bytes_ = 20000;
+    spec.result_lifetime_ = seconds(4);
     return spec;
   }
 
@@ -220,11 +220,11 @@
     pool.batcher_.Cancel(task);
     pool.Finish(batch);
     CHECK(pool.batcher_.TakeOutcomes().empty());
-    CHECK(pool.batcher_.TakeUnwanted().at("s1:1").size() == 2);
+    CHECK(pool.batcher_.TakeDiscardedResults().at("s1:1").size() == 2);
   }
 
   StagePoolSpec tight = Pool::Spec();
-  tight.room_bytes_ = 20 * kResultBytes;
+  tight.result_capacity_bytes_ = 20 * kResultBytes;
 
   SECTION("the capacity for results bounds calls until results are freed") {
     pool.batcher_.SetSpec(tight);
@@ -257,7 +257,7 @@
   SECTION("results of a lost call occupy capacity until they expire") {
     pool.SetServers({{"s1", "a"}});
     StagePoolSpec spec = Pool::Spec();
-    spec.room_bytes_ = 1000;
+    spec.result_capacity_bytes_ = 1000;
     pool.batcher_.SetSpec(spec);
     pool.Add(8);
     const auto lost = pool.Start();
@@ -272,21 +272,21 @@
   SECTION("results of the previous owner occupy capacity until they expire") {
     pool.SetServers({{"s1", "a"}});
     StagePoolSpec spec = Pool::Spec();
-    spec.room_bytes_ = 1000;
+    spec.result_capacity_bytes_ = 1000;
     pool.batcher_.SetSpec(spec);
     pool.batcher_.TakeOver(pool.now_);
     pool.Add(5);
     // The server has not reported to be out of capacity yet.
     auto batches = pool.Start();
     REQUIRE(batches.size() == 1);
-    pool.Finish(batches[0], Outcome::kNoRoom);
+    pool.Finish(batches[0], Outcome::kOutOfCapacity);
     pool.Pass(milliseconds(3900));
     CHECK(pool.Start().empty());
     pool.Pass(milliseconds(200));
     batches = pool.Start();
     REQUIRE(batches.size() == 1);
     // Results of the previous owner have expired by now.
-    pool.Finish(batches[0], Outcome::kNoRoom);
+    pool.Finish(batches[0], Outcome::kOutOfCapacity);
     pool.Pass(milliseconds(700));
     CHECK(pool.Start().size() == 1);
   }
@@ -294,12 +294,12 @@
   SECTION("a server out of capacity gets fewer pieces for a while") {
     pool.SetServers({{"s1", "a"}});
     StagePoolSpec spec = Pool::Spec();
-    spec.room_bytes_ = 1000;
+    spec.result_capacity_bytes_ = 1000;
     pool.batcher_.SetSpec(spec);
     pool.Add(6);
     const auto full = pool.Start();
     REQUIRE(full.size() == 1);
-    pool.Finish(full[0], Outcome::kNoRoom);
+    pool.Finish(full[0], Outcome::kOutOfCapacity);
     pool.Pass(milliseconds(100));
     CHECK(pool.Start().empty());
     pool.Pass(milliseconds(900));
@@ -388,7 +388,7 @@
     CHECK(pool.batcher_.TakeOutcomes().size() == 1);
     pool.Finish(slow);
     CHECK(pool.batcher_.TakeOutcomes().empty());
-    CHECK(pool.batcher_.TakeUnwanted().at(slow.address_).size() == 2);
+    CHECK(pool.batcher_.TakeDiscardedResults().at(slow.address_).size() == 2);
   }
 
   SECTION("a server that was absent from the list restarts its counts") {
@@ -516,7 +516,7 @@
     const uint64_t sent = pool.Add(8);
     pool.Start();
     const uint64_t waiting = pool.Add(8);
-    pool.batcher_.HandBackWaiting();
+    pool.batcher_.ReturnUnsentTasks();
     const auto outcomes = pool.batcher_.TakeOutcomes();
     REQUIRE(outcomes.size() == 1);
     CHECK(outcomes[0].task_ == waiting);
@@ -794,7 +794,8 @@
     std::vector<StagePieceResult> made;
     for (std::string& handle : handles) {
       StagePieceResult result;
-      result.outcome_ = handle.empty() ? Outcome::kNoRoom : Outcome::kDone;
+      result.outcome_ =
+          handle.empty() ? Outcome::kOutOfCapacity : Outcome::kDone;
       result.handle_ = std::move(handle);
       made.push_back(std::move(result));
     }
@@ -825,16 +826,15 @@
     CHECK(check.Take(results({"", "h/2"}), pieces(0, 2), now) == Match::kOwn);
     now += seconds(9);
     CHECK(check.Take(results({"", "h/2"}), pieces(2, 2), now) ==
-          Match::kSeenBefore);
+          Match::kDuplicateHandle);
   }
   SECTION("are ambiguous without results") {
     CHECK(check.Take(results({"", ""}), pieces(0, 2), now) ==
-          Match::kMayBeOthers);
+          Match::kAmbiguous);
   }
   SECTION("are ambiguous when they name a known result of the same piece") {
     CHECK(check.Take(results({"h/1"}), pieces(0, 1), now) == Match::kOwn);
-    CHECK(check.Take(results({"h/1"}), pieces(0, 1), now) ==
-          Match::kMayBeOthers);
+    CHECK(check.Take(results({"h/1"}), pieces(0, 1), now) == Match::kAmbiguous);
   }
   SECTION("expire after the retention time") {
     CHECK(check.Take(results({"h/1"}), pieces(0, 1), now) == Match::kOwn);
--- a/tests/unit-storage.cc
+++ b/tests/unit-storage.cc
@@ -89,7 +89,7 @@
       const auto state = MakeStorage(&other)->Open(kNode, &error);
       REQUIRE(state);
       REQUIRE(state->entries_.size() == 2);
-      REQUIRE(state->cut_.find(path) != std::string::npos);
+      REQUIRE(state->truncation_.find(path) != std::string::npos);
     }
   }
   SECTION("in a snapshot is refused with the file") {
