--- a/include/citronlane/control/detail/control_state.h
+++ b/include/citronlane/control/detail/control_state.h
@@ -11,7 +11,7 @@
 #include <string_view>
 
 #include "citronlane/base/time.h"
-#include "citronlane/control/detail/gateway_sighting.h"
+#include "citronlane/control/detail/gateway_observation.h"
 #include "citronlane/control/replica_status.h"
 #include "citronlane/fleet/in_force_status.h"
 #include "citronlane/fleet/in_force_tracker.h"
--- a/include/citronlane/control/gateway_feed.h
+++ b/include/citronlane/control/gateway_feed.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "citronlane/base/time.h"
-#include "citronlane/fleet/config_spread.h"
+#include "citronlane/fleet/config_propagation.h"
 #include "citronlane/fleet/pool_assignment.h"
-#include "citronlane/fleet/pool_part.h"
+#include "citronlane/fleet/pool_partition.h"
 #include "citronlane/fleet/pooled_service.h"
 #include "citronlane/fleet/recent_documents.h"
 #include "citronlane/serving/backend_server.h"
--- a/include/citronlane/fleet/config_spread.h
+++ b/include/citronlane/fleet/config_propagation.h
@@ -1,5 +1,5 @@
-#ifndef CITRONLANE_FLEET_CONFIG_SPREAD_H_
-#define CITRONLANE_FLEET_CONFIG_SPREAD_H_
+#ifndef CITRONLANE_FLEET_CONFIG_PROPAGATION_H_
+#define CITRONLANE_FLEET_CONFIG_PROPAGATION_H_
 
 #include <cstdint>
 
@@ -17,4 +17,4 @@
 
 }  // namespace citronlane
 
-#endif  // CITRONLANE_FLEET_CONFIG_SPREAD_H_
+#endif  // CITRONLANE_FLEET_CONFIG_PROPAGATION_H_
--- a/include/citronlane/fleet/pool_assignment.h
+++ b/include/citronlane/fleet/pool_assignment.h
@@ -11,7 +11,7 @@
 
 #include "absl/types/span.h"
 #include "citronlane/base/time.h"
-#include "citronlane/fleet/pool_part.h"
+#include "citronlane/fleet/pool_partition.h"
 
 namespace citronlane {
 
--- a/include/citronlane/fleet/pool_division.h
+++ b/include/citronlane/fleet/pool_division.h
@@ -5,7 +5,7 @@
 
 #include "absl/types/span.h"
 #include "citronlane/fleet/pool_assignment.h"
-#include "citronlane/fleet/pool_part.h"
+#include "citronlane/fleet/pool_partition.h"
 #include "citronlane/fleet/pooled_service.h"
 #include "citronlane/serving/backend_server.h"
 
--- a/include/citronlane/fleet/pool_part.h
+++ b/include/citronlane/fleet/pool_partition.h
@@ -1,5 +1,5 @@
-#ifndef CITRONLANE_FLEET_POOL_PART_H_
-#define CITRONLANE_FLEET_POOL_PART_H_
+#ifndef CITRONLANE_FLEET_POOL_PARTITION_H_
+#define CITRONLANE_FLEET_POOL_PARTITION_H_
 
 #include <string>
 #include <tuple>
@@ -46,4 +46,4 @@
 
 }  // namespace citronlane
 
-#endif  // CITRONLANE_FLEET_POOL_PART_H_
+#endif  // CITRONLANE_FLEET_POOL_PARTITION_H_
--- a/include/citronlane/fleet/server_starts.h
+++ b/include/citronlane/fleet/server_incarnations.h
@@ -1,5 +1,5 @@
-#ifndef CITRONLANE_FLEET_SERVER_STARTS_H_
-#define CITRONLANE_FLEET_SERVER_STARTS_H_
+#ifndef CITRONLANE_FLEET_SERVER_INCARNATIONS_H_
+#define CITRONLANE_FLEET_SERVER_INCARNATIONS_H_
 
 #include <cstddef>
 #include <map>
@@ -49,4 +49,4 @@
 
 }  // namespace citronlane
 
-#endif  // CITRONLANE_FLEET_SERVER_STARTS_H_
+#endif  // CITRONLANE_FLEET_SERVER_INCARNATIONS_H_
--- a/include/citronlane/gateway/caller_handler.h
+++ b/include/citronlane/gateway/caller_handler.h
@@ -9,13 +9,13 @@
 
 #include "citronlane/admission/admission_query.h"
 #include "citronlane/base/time.h"
-#include "citronlane/gateway/answer_writer.h"
 #include "citronlane/gateway/caller_request.h"
 #include "citronlane/gateway/caller_service_parts.h"
 #include "citronlane/gateway/driver_job.h"
 #include "citronlane/gateway/refusal_context.h"
 #include "citronlane/gateway/request_claim.h"
 #include "citronlane/gateway/request_summary.h"
+#include "citronlane/gateway/response_writer.h"
 #include "citronlane/request/finish_request.h"
 #include "citronlane/transport/http_reply.h"
 
--- a/include/citronlane/gateway/detail/call_flight.h
+++ b/include/citronlane/gateway/detail/in_flight_call.h
@@ -1,5 +1,5 @@
-#ifndef CITRONLANE_GATEWAY_DETAIL_CALL_FLIGHT_H_
-#define CITRONLANE_GATEWAY_DETAIL_CALL_FLIGHT_H_
+#ifndef CITRONLANE_GATEWAY_DETAIL_IN_FLIGHT_CALL_H_
+#define CITRONLANE_GATEWAY_DETAIL_IN_FLIGHT_CALL_H_
 
 #include <cstdint>
 #include <memory>
@@ -43,4 +43,4 @@
 
 }  // namespace citronlane::detail
 
-#endif  // CITRONLANE_GATEWAY_DETAIL_CALL_FLIGHT_H_
+#endif  // CITRONLANE_GATEWAY_DETAIL_IN_FLIGHT_CALL_H_
--- a/include/citronlane/gateway/answer_writer.h
+++ b/include/citronlane/gateway/response_writer.h
@@ -1,5 +1,5 @@
-#ifndef CITRONLANE_GATEWAY_ANSWER_WRITER_H_
-#define CITRONLANE_GATEWAY_ANSWER_WRITER_H_
+#ifndef CITRONLANE_GATEWAY_RESPONSE_WRITER_H_
+#define CITRONLANE_GATEWAY_RESPONSE_WRITER_H_
 
 #include <cstdint>
 #include <string>
@@ -57,4 +57,4 @@
 
 }  // namespace citronlane
 
-#endif  // CITRONLANE_GATEWAY_ANSWER_WRITER_H_
+#endif  // CITRONLANE_GATEWAY_RESPONSE_WRITER_H_
--- a/include/citronlane/relay/fleet_view.h
+++ b/include/citronlane/relay/fleet_view.h
@@ -11,7 +11,7 @@
 
 #include "citronlane/base/time.h"
 #include "citronlane/fleet/pool_assignment.h"
-#include "citronlane/fleet/server_starts.h"
+#include "citronlane/fleet/server_incarnations.h"
 #include "citronlane/serving/backend_server.h"
 #include "citronlane/serving/serving_config.h"
 #include "citronlane/state/drained_domains.h"
--- a/include/citronlane/relay/owner_table.h
+++ b/include/citronlane/relay/owner_table.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "citronlane/base/time.h"
-#include "citronlane/fleet/pool_part.h"
+#include "citronlane/fleet/pool_partition.h"
 
 namespace citronlane {
 
--- a/include/citronlane/relay/placed_engine.h
+++ b/include/citronlane/relay/placed_engine.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "absl/types/span.h"
-#include "citronlane/fleet/pool_part.h"
+#include "citronlane/fleet/pool_partition.h"
 #include "citronlane/relay/engine_placement.h"
 #include "citronlane/routing/call_outcome.h"
 #include "citronlane/routing/engine_router.h"
--- a/include/citronlane/relay/pool_part_codec.h
+++ b/include/citronlane/relay/pool_partition_codec.h
@@ -1,7 +1,7 @@
-#ifndef CITRONLANE_RELAY_POOL_PART_CODEC_H_
-#define CITRONLANE_RELAY_POOL_PART_CODEC_H_
+#ifndef CITRONLANE_RELAY_POOL_PARTITION_CODEC_H_
+#define CITRONLANE_RELAY_POOL_PARTITION_CODEC_H_
 
-#include "citronlane/fleet/pool_part.h"
+#include "citronlane/fleet/pool_partition.h"
 
 namespace citronlane {
 
@@ -20,4 +20,4 @@
 
 }  // namespace citronlane
 
-#endif  // CITRONLANE_RELAY_POOL_PART_CODEC_H_
+#endif  // CITRONLANE_RELAY_POOL_PARTITION_CODEC_H_
--- a/include/citronlane/relay/relay_answers.h
+++ b/include/citronlane/relay/relay_responses.h
@@ -1,5 +1,5 @@
-#ifndef CITRONLANE_RELAY_RELAY_ANSWERS_H_
-#define CITRONLANE_RELAY_RELAY_ANSWERS_H_
+#ifndef CITRONLANE_RELAY_RELAY_RESPONSES_H_
+#define CITRONLANE_RELAY_RELAY_RESPONSES_H_
 
 #include "absl/types/span.h"
 #include "citronlane/base/refusal_reason.h"
@@ -21,4 +21,4 @@
 
 }  // namespace citronlane
 
-#endif  // CITRONLANE_RELAY_RELAY_ANSWERS_H_
+#endif  // CITRONLANE_RELAY_RELAY_RESPONSES_H_
--- a/include/citronlane/relay/stage_owners.h
+++ b/include/citronlane/relay/stage_owners.h
@@ -13,7 +13,7 @@
 
 #include "absl/types/span.h"
 #include "citronlane/base/time.h"
-#include "citronlane/fleet/pool_part.h"
+#include "citronlane/fleet/pool_partition.h"
 #include "citronlane/relay/owner_table.h"
 #include "citronlane/stages/stage_forecast.h"
 #include "citronlane/stages/stage_outcome.h"
--- a/include/citronlane/relay/stage_pool.h
+++ b/include/citronlane/relay/stage_pool.h
@@ -11,7 +11,7 @@
 
 #include "absl/types/span.h"
 #include "citronlane/base/error.h"
-#include "citronlane/fleet/pool_part.h"
+#include "citronlane/fleet/pool_partition.h"
 #include "citronlane/routing/call_outcome.h"
 #include "citronlane/routing/repeat_budget.h"
 #include "citronlane/serving/stage_piece_result.h"
--- a/include/citronlane/routing/engine_router.h
+++ b/include/citronlane/routing/engine_router.h
@@ -12,7 +12,7 @@
 #include "citronlane/base/time.h"
 #include "citronlane/routing/call_outcome.h"
 #include "citronlane/serving/backend_server.h"
-#include "citronlane/serving/prompt_part.h"
+#include "citronlane/serving/prompt_segment.h"
 
 namespace citronlane {
 
--- a/include/citronlane/serving/prompt_part.h
+++ b/include/citronlane/serving/prompt_segment.h
@@ -1,5 +1,5 @@
-#ifndef CITRONLANE_SERVING_PROMPT_PART_H_
-#define CITRONLANE_SERVING_PROMPT_PART_H_
+#ifndef CITRONLANE_SERVING_PROMPT_SEGMENT_H_
+#define CITRONLANE_SERVING_PROMPT_SEGMENT_H_
 
 #include <cstdint>
 #include <string>
@@ -15,4 +15,4 @@
 
 }  // namespace citronlane
 
-#endif  // CITRONLANE_SERVING_PROMPT_PART_H_
+#endif  // CITRONLANE_SERVING_PROMPT_SEGMENT_H_
--- a/include/citronlane/serving/request_head.h
+++ b/include/citronlane/serving/request_head.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "citronlane/base/time.h"
-#include "citronlane/serving/prompt_part.h"
+#include "citronlane/serving/prompt_segment.h"
 
 namespace citronlane {
 
--- a/include/citronlane/serving/route_place.h
+++ b/include/citronlane/serving/route_key.h
@@ -1,5 +1,5 @@
-#ifndef CITRONLANE_SERVING_ROUTE_PLACE_H_
-#define CITRONLANE_SERVING_ROUTE_PLACE_H_
+#ifndef CITRONLANE_SERVING_ROUTE_KEY_H_
+#define CITRONLANE_SERVING_ROUTE_KEY_H_
 
 #include <cstddef>
 #include <functional>
@@ -29,4 +29,4 @@
 
 }  // namespace citronlane
 
-#endif  // CITRONLANE_SERVING_ROUTE_PLACE_H_
+#endif  // CITRONLANE_SERVING_ROUTE_KEY_H_
--- a/include/citronlane/serving/serving_config.h
+++ b/include/citronlane/serving/serving_config.h
@@ -12,7 +12,7 @@
 #include "citronlane/serving/caller_limits.h"
 #include "citronlane/serving/client_account.h"
 #include "citronlane/serving/route.h"
-#include "citronlane/serving/route_place.h"
+#include "citronlane/serving/route_key.h"
 #include "citronlane/serving/service.h"
 
 namespace citronlane {
--- a/scripts/prove.py
+++ b/scripts/prove.py
@@ -170,7 +170,7 @@
         "or_may_have_run",
         PLATFORM + "StartAgainTest.test_kept_connections_end_with_their_"
         "start",
-        "unit-server-starts: incarnations of backend servers",
+        "unit-server-incarnations: incarnations of backend servers",
         "unit-platform: platform servers that start again",
         "unit-relay: a restarted engine has no history",
         "unit-stages: stage failures"]),
--- a/src/control/control_metrics.cc
+++ b/src/control/control_metrics.cc
@@ -4,7 +4,7 @@
 #include <string_view>
 
 #include "citronlane/control/detail/control_state.h"
-#include "citronlane/fleet/config_spread.h"
+#include "citronlane/fleet/config_propagation.h"
 
 namespace citronlane {
 namespace {
--- a/src/fleet/server_starts.cc
+++ b/src/fleet/server_incarnations.cc
@@ -1,4 +1,4 @@
-#include "citronlane/fleet/server_starts.h"
+#include "citronlane/fleet/server_incarnations.h"
 
 #include <utility>
 
--- a/src/gateway/request_driver_replies.cc
+++ b/src/gateway/request_driver_replies.cc
@@ -6,7 +6,7 @@
 
 #include "citronlane/base/steady_now.h"
 #include "citronlane/config/cluster_config.h"
-#include "citronlane/gateway/detail/call_flight.h"
+#include "citronlane/gateway/detail/in_flight_call.h"
 #include "citronlane/gateway/driver_context.h"
 #include "citronlane/transport/detail/header_name.h"
 #include "citronlane/transport/stage_adapter.h"
--- a/src/gateway/answer_writer.cc
+++ b/src/gateway/response_writer.cc
@@ -1,4 +1,4 @@
-#include "citronlane/gateway/answer_writer.h"
+#include "citronlane/gateway/response_writer.h"
 
 #include <utility>
 
--- a/src/relay/engine_placement.cc
+++ b/src/relay/engine_placement.cc
@@ -11,7 +11,7 @@
 #include "citronlane/net/frame_link.h"
 #include "citronlane/observe/event_log.h"
 #include "citronlane/relay/fleet_view.h"
-#include "citronlane/relay/pool_part_codec.h"
+#include "citronlane/relay/pool_partition_codec.h"
 #include "citronlane/relay/service_router.h"
 #include "fleet.pb.h"
 
--- a/src/relay/gateway_host.cc
+++ b/src/relay/gateway_host.cc
@@ -20,7 +20,7 @@
 #include "citronlane/observe/event_log.h"
 #include "citronlane/observe/metric_names.h"
 #include "citronlane/relay/detail/gateway_host_impl.h"
-#include "citronlane/relay/relay_answers.h"
+#include "citronlane/relay/relay_responses.h"
 #include "citronlane/serving/dialect.h"
 #include "citronlane/transport/http_exchange.h"
 #include "citronlane/transport/http_reply.h"
--- a/src/relay/relay_answers.cc
+++ b/src/relay/relay_responses.cc
@@ -1,4 +1,4 @@
-#include "citronlane/relay/relay_answers.h"
+#include "citronlane/relay/relay_responses.h"
 
 #include <string>
 
--- a/src/relay/stage_owners.cc
+++ b/src/relay/stage_owners.cc
@@ -10,7 +10,7 @@
 #include "citronlane/net/frame_link.h"
 #include "citronlane/observe/event_log.h"
 #include "citronlane/relay/fleet_view.h"
-#include "citronlane/relay/pool_part_codec.h"
+#include "citronlane/relay/pool_partition_codec.h"
 #include "citronlane/relay/stage_pool.h"
 #include "citronlane/relay/stage_task_codec.h"
 #include "fleet.pb.h"
--- a/src/relay/stage_owners_serve.cc
+++ b/src/relay/stage_owners_serve.cc
@@ -4,7 +4,7 @@
 
 #include "citronlane/base/steady_now.h"
 #include "citronlane/net/frame_channel.h"
-#include "citronlane/relay/pool_part_codec.h"
+#include "citronlane/relay/pool_partition_codec.h"
 #include "citronlane/relay/stage_owners.h"
 #include "citronlane/relay/stage_pool.h"
 #include "citronlane/relay/stage_task_codec.h"
--- a/src/relay/stage_runner_announce.cc
+++ b/src/relay/stage_runner_announce.cc
@@ -4,7 +4,7 @@
 #include <utility>
 
 #include "citronlane/base/steady_now.h"
-#include "citronlane/relay/detail/stage_runner_answers.h"
+#include "citronlane/relay/detail/stage_runner_events.h"
 #include "citronlane/relay/fleet_view.h"
 #include "citronlane/relay/relay_job.h"
 #include "citronlane/relay/stage_owners.h"
--- a/tests/unit-relay.cc
+++ b/tests/unit-relay.cc
@@ -10,7 +10,7 @@
 #include "citronlane/fleet/rendezvous.h"
 #include "citronlane/relay/fleet_view.h"
 #include "citronlane/relay/forwarded_headers.h"
-#include "citronlane/relay/relay_answers.h"
+#include "citronlane/relay/relay_responses.h"
 #include "citronlane/routing/engine_router.h"
 #include "citronlane/routing/repeat_budget.h"
 
--- a/tests/unit-server-starts.cc
+++ b/tests/unit-server-incarnations.cc
@@ -3,7 +3,7 @@
 #include <string>
 #include <vector>
 
-#include "citronlane/fleet/server_starts.h"
+#include "citronlane/fleet/server_incarnations.h"
 
 namespace citronlane {
 namespace {
