--- a/src/gateway/caller_handler.cc
+++ b/src/gateway/caller_handler.cc
@@ -92,8 +92,8 @@
   switch (answer.result_) {
     case ClaimAnswer::Result::kUnavailable:
       Refuse(RefusalReason::kControlUnreachable, Verdict::kNotRun,
-             "this request was not run; whether an earlier one with the same "
-             "key was run is not known");
+             "this delivery was not run; an earlier one with the same key is "
+             "not known of");
       return;
     case ClaimAnswer::Result::kRunning:
       Refuse(RefusalReason::kIdempotentRequestRunning, Verdict::kMayHaveRun,
--- a/src/gateway/caller_request_reader.cc
+++ b/src/gateway/caller_request_reader.cc
@@ -58,9 +58,8 @@
        {"Host", "Authorization", "X-Class", "Idempotency-Key",
         "X-Non-Idempotent", "Content-Type", "Content-Length"}) {
     if (http_.CountHeader(name) > 1) {
-      return Fail(
-          RefusalReason::kMalformedRequest,
-          std::string("the header ") + name + " appears more than once");
+      return Fail(RefusalReason::kMalformedRequest,
+                  std::string("the header ") + name + " stands twice");
     }
   }
   return true;
@@ -70,7 +69,7 @@
   const std::string_view header = http_.Header("Authorization");
   if (!detail::SameHeaderName(header.substr(0, kBearer.size()), kBearer)) {
     return Fail(RefusalReason::kUnknownAccount,
-                "the header Authorization contains no bearer key");
+                "the header Authorization holds no bearer key");
   }
   result_.account_ = view_.FindAccount(header.substr(kBearer.size()));
   if (result_.account_ == nullptr) {
@@ -175,12 +174,12 @@
   const JsonValue* model = body->Find("model");
   const JsonValue* messages = body->Find("messages");
   if (model == nullptr || !model->IsString()) {
-    return Fail(RefusalReason::kMalformedRequest, "model must be a string");
+    return Fail(RefusalReason::kMalformedRequest, "model must be a text");
   }
   if (messages == nullptr || !messages->IsArray() ||
       messages->items().empty()) {
     return Fail(RefusalReason::kMalformedRequest,
-                "messages must be a non-empty array");
+                "messages must be an array with one message at least");
   }
   return SelectPipeline(model->AsString()) && ReadMessages(*messages) &&
          ReadOptions(*body);
@@ -194,7 +193,7 @@
     if (role == nullptr || !role->IsString() || content == nullptr ||
         !content->IsString()) {
       return Fail(RefusalReason::kMalformedRequest,
-                  "each message needs the strings role and content");
+                  "each message needs role and content, both texts");
     }
     if (role->AsString() == "user") {
       result_.input_.query_ = content->AsString();
@@ -204,7 +203,7 @@
   }
   if (result_.input_.query_.empty()) {
     return Fail(RefusalReason::kMalformedRequest,
-                "messages contains no text with the role user");
+                "messages hold no text of the user");
   }
   const bool single = messages.items().size() == 1;
   result_.input_.prompt_ =
@@ -222,7 +221,7 @@
   const JsonValue* input = body->Find("input");
   if (input == nullptr || !input->IsString() || input->AsString().empty()) {
     return Fail(RefusalReason::kMalformedRequest,
-                "input must be a non-empty string");
+                "input must be a text that is not empty");
   }
   result_.input_.query_ = input->AsString();
   result_.input_.prompt_ = input->AsString();
@@ -244,7 +243,7 @@
       tokens->AsNumber() > kMaxTokensAllowed ||
       tokens->AsNumber() != std::floor(tokens->AsNumber())) {
     return Fail(RefusalReason::kMalformedRequest,
-                "max_tokens must be an integer from 1 to 1000000");
+                "max_tokens must be a whole number from 1 to 1000000");
   }
   result_.input_.max_tokens_ = static_cast<uint32_t>(tokens->AsNumber());
   return true;
