--- a/tests/support/consensus_sim.cc
+++ b/tests/support/consensus_sim.cc
@@ -103,7 +103,7 @@
   Start(&node);
 }
 
-void ConsensusSim::Part(const std::set<uint64_t>& side) {
+void ConsensusSim::Partition(const std::set<uint64_t>& side) {
   partition_side_ = side;
 }
 
--- a/tests/support/consensus_sim.h
+++ b/tests/support/consensus_sim.h
@@ -60,7 +60,7 @@
   uint64_t AddNode();
   /// Cuts the links between the nodes of `side` and all others, in both
   /// directions. Replaces an earlier partition.
-  void Part(const std::set<uint64_t>& side);
+  void Partition(const std::set<uint64_t>& side);
   /// Cuts the link between two nodes in both directions.
   void CutLink(uint64_t a, uint64_t b);
   /// Restores all links.
--- a/tests/unit-consensus-schedules.cc
+++ b/tests/unit-consensus-schedules.cc
@@ -30,15 +30,15 @@
   const uint64_t other = ids[sim->Random(ids.size())];
   switch (sim->Random(40)) {
     case 0:
-      return sim->Part({id});
+      return sim->Partition({id});
     case 1:
-      return sim->Part({id, other});
+      return sim->Partition({id, other});
     case 2:
     case 3:
       return sim->Heal();
     case 4:
       if (sim->Leader() != 0) {
-        sim->Part({sim->Leader()});
+        sim->Partition({sim->Leader()});
       }
       return;
     case 5:
--- a/tests/unit-consensus.cc
+++ b/tests/unit-consensus.cc
@@ -78,7 +78,7 @@
   sim.Run(10);
   const uint64_t committed = sim.committed();
   const uint64_t reads = sim.confirmed_reads();
-  sim.Part({old});
+  sim.Partition({old});
   sim.Propose();
   sim.Read();
 
@@ -174,7 +174,7 @@
   }
   SECTION("promote only a learner that has caught up") {
     const uint64_t id = sim.AddNode();
-    sim.Part({id});
+    sim.Partition({id});
     next.learners_[id] = "node";
     REQUIRE(sim.Change(next));
     REQUIRE(RunUntil(
