--- a/tests/process/golden_test.py
+++ b/tests/process/golden_test.py
@@ -109,6 +109,8 @@
                                                  base + version)
             lines += [f"# {name}", str(status), json.dumps(
                 answer, indent=1).replace('": "', '":"').replace('": ', '":')]
+        # Control commits a change before the gateways use its version.
+        self.cluster.wait_version(base + 2)
         refused = self.ask("golden refusal", class_name="none")
         record = wait_until(lambda: (lambda reply: reply[0] == 200 and reply)(
             self.cluster.admin("GET", "/v1/refusals/" + refused.refusal_id)),
