--- a/bench/bench-path.cc
+++ b/bench/bench-path.cc
@@ -58,7 +58,7 @@
 
 // Latencies in microseconds.
 struct Sample {
-  double whole_ = 0;
+  double total_ = 0;
   double first_token_ = 0;
 };
 
@@ -66,7 +66,7 @@
  public:
   void Add(const Sample& sample) {
     const std::lock_guard<std::mutex> lock(mutex_);
-    whole_.push_back(sample.whole_);
+    total_.push_back(sample.total_);
     first_token_.push_back(sample.first_token_);
   }
 
@@ -75,12 +75,12 @@
              size_t failed,
              size_t refused) {
     std::cout << "{\"in_flight\":" << options.in_flight_
-              << ",\"requests\":" << whole_.size() << ",\"failed\":" << failed
+              << ",\"requests\":" << total_.size() << ",\"failed\":" << failed
               << ",\"refused\":" << refused << ",\"seconds\":" << seconds
               << ",\"requests_per_second\":"
-              << static_cast<double>(whole_.size()) / seconds
-              << ",\"p50_us\":" << Quantile(&whole_, kMedian)
-              << ",\"p99_us\":" << Quantile(&whole_, kTail)
+              << static_cast<double>(total_.size()) / seconds
+              << ",\"p50_us\":" << Quantile(&total_, kMedian)
+              << ",\"p99_us\":" << Quantile(&total_, kTail)
               << ",\"first_token_p50_us\":" << Quantile(&first_token_, kMedian)
               << ",\"first_token_p99_us\":" << Quantile(&first_token_, kTail)
               << "}" << std::endl;
@@ -100,7 +100,7 @@
   }
 
   std::mutex mutex_;
-  std::vector<double> whole_;
+  std::vector<double> total_;
   std::vector<double> first_token_;
 };
 
@@ -294,7 +294,7 @@
       sample.first_token_ =
           std::chrono::duration<double, std::micro>(first_byte - start).count();
     }
-    sample.whole_ = MicrosSince(start);
+    sample.total_ = MicrosSince(start);
     totals_.Add(sample);
     return true;
   }
--- a/include/citronlane/request/finish_request.h
+++ b/include/citronlane/request/finish_request.h
@@ -11,7 +11,7 @@
 /// Command: the request ended. Returned exactly once, as the last command.
 struct FinishRequest {
   /// All stages succeeded; otherwise `reason_` is why they did not.
-  bool whole_ = false;
+  bool complete_ = false;
   RefusalReason reason_ = RefusalReason::kInternal;
   Verdict verdict_ = Verdict::kNotRun;
   /// Index of the stage at which the request ended.
--- a/src/gateway/caller_handler.cc
+++ b/src/gateway/caller_handler.cc
@@ -59,7 +59,7 @@
   parts_.admission_->OnFinish(SteadyNow(), query_, summary.Cost(),
                               summary.met_target_);
   parts_.on_request_(summary);
-  if (finish_->whole_) {
+  if (finish_->complete_) {
     SendCompleteResponse();
   } else {
     SendFailure();
@@ -323,7 +323,7 @@
   summary.account_ = request_.account_->name_;
   summary.class_name_ = request_.class_->name_;
   summary.target_ = request_.target_;
-  summary.complete_ = finish_->whole_;
+  summary.complete_ = finish_->complete_;
   summary.reason_ = finish_->reason_;
   summary.verdict_ = finish_->verdict_;
   summary.answer_time_ = SteadyNow() - start_;
--- a/tests/unit-request.cc
+++ b/tests/unit-request.cc
@@ -109,7 +109,7 @@
     CHECK(test.calls_[1].attempt_.ToHeader() == "r/1/0");
     test.Result(test.Send(1));
     REQUIRE(test.finishes_.size() == 1);
-    CHECK(test.finishes_[0].whole_);
+    CHECK(test.finishes_[0].complete_);
     CHECK(test.finishes_[0].verdict_ == Verdict::kRan);
   }
 
@@ -236,7 +236,7 @@
       test.Tokens(first, 1, kTokens);
       CHECK(test.emitted_.size() == kTokens);
       CHECK(test.request_.counters().duplicate_tokens_ == 2);
-      CHECK(test.finishes_.at(0).whole_);
+      CHECK(test.finishes_.at(0).complete_);
       CHECK(test.request_.output().text_ == FullText());
     }
     SECTION("starts again on another server when no token arrived") {
@@ -257,7 +257,7 @@
       CHECK(test.calls_[2].mode_ == CallMode::kContinue);
       CHECK(test.calls_[2].excluded_.front() == "s1");
       test.Tokens(test.Send(2), 3, kTokens);
-      CHECK(test.finishes_.at(0).whole_);
+      CHECK(test.finishes_.at(0).complete_);
       CHECK(test.request_.output().text_ == FullText());
     }
     SECTION("continues on another server after a timeout") {
@@ -277,7 +277,7 @@
       test.Tokens(first, 0, 3);
       test.Fail(first, CallOutcome::kClosedAfterSend);
       REQUIRE(test.finishes_.size() == 1);
-      CHECK_FALSE(test.finishes_[0].whole_);
+      CHECK_FALSE(test.finishes_[0].complete_);
       CHECK(test.finishes_[0].reason_ == RefusalReason::kStreamBroken);
     }
     SECTION("is read from the hedged call whose token arrives first") {
@@ -466,7 +466,7 @@
       }
       RC_ASSERT(!ambiguous_rejection_);
     }
-    if (finish_.whole_) {
+    if (finish_.complete_) {
       RC_ASSERT(request_.stage() + 1 == stages_.size());
       RC_ASSERT(!stages_.back().streams_ ||
                 request_.output().text_ == FullText());
