--- a/include/citronlane/routing/call_outcome.h
+++ b/include/citronlane/routing/call_outcome.h
@@ -18,7 +18,7 @@
   kClosedAfterSend,
   /// The call's share of the deadline passed.
   kTimeout,
-  /// The gateway cancelled the call; says nothing about the server.
+  /// The gateway cancelled the call: no evidence about the server.
   kCancelled,
   /// The reply echoed the id of another attempt.
   kWrongId,
--- a/include/citronlane/routing/call_priority.h
+++ b/include/citronlane/routing/call_priority.h
@@ -12,7 +12,8 @@
 constexpr size_t kCallPriorities = 3;
 
 /// Priority of a class's calls at an engine, derived from its target: classes
-/// that wait for a first token go first (0), batch work last (2). Thread safe.
+/// that wait for a first token come first (0), batch work last (2). Thread
+/// safe.
 uint32_t CallPriority(const ClassConfig& config);
 
 }  // namespace citronlane
--- a/include/citronlane/routing/detail/outstanding_call.h
+++ b/include/citronlane/routing/detail/outstanding_call.h
@@ -10,9 +10,9 @@
 /// One call of this gateway that a server has not finished.
 struct OutstandingCall {
   TimePoint start_{};
-  /// The server's other calls at the start.
+  /// Number of the server's other calls when this one started.
   double load_ = 0;
-  /// Typical time of such a call in the pool at that load.
+  /// The pool's typical time of such a call at `load_`.
   Duration expected_{};
   uint32_t priority_ = 1;
   /// Time to the first byte; zero until it arrived.
--- a/include/citronlane/routing/detail/prefix_index.h
+++ b/include/citronlane/routing/detail/prefix_index.h
@@ -12,10 +12,10 @@
 
 namespace citronlane {
 
-/// Tracks which servers are assumed to hold which prompt prefix, from own calls
-/// and from cache events, and maps each prefix to a preferred server by
-/// consistent hashing, the same one on all gateways. Servers are indices into
-/// the list given to Reset. Not thread safe.
+/// Tracks which servers are assumed to hold which prompt prefix, from this
+/// gateway's calls and from cache events, and maps each prefix to a preferred
+/// server by consistent hashing, the same one on all gateways. Servers are
+/// indices into the list given to Reset. Not thread safe.
 class PrefixIndex {
  public:
   /// Tracks at most `capacity` prefixes, which is above 0; evicts the one added
@@ -29,7 +29,7 @@
   /// `sequence`, or one that restarted, first invalidates what the server was
   /// assumed to hold. An event older than the last one is ignored.
   void OnEvent(uint32_t server, uint64_t sequence, uint64_t prefix, bool held);
-  /// An own call left the prefix at the server.
+  /// A call of this gateway left the prefix in the server's cache.
   void OnStored(uint32_t server, uint64_t prefix);
   /// Assumes from now on that the server holds nothing.
   void Invalidate(uint32_t server);
--- a/include/citronlane/routing/detail/server_state.h
+++ b/include/citronlane/routing/detail/server_state.h
@@ -25,7 +25,8 @@
   bool near() const { return near_; }
   void set_near(bool near) { near_ = near; }
 
-  /// `expected` is the pool's typical time of such a call at this load.
+  /// `expected` is the pool's typical time of such a call at the
+  /// server's present load.
   void StartCall(TimePoint now,
                  Duration expected,
                  uint32_t priority,
@@ -47,8 +48,9 @@
   void SetPeerLoad(uint32_t gateway, TimePoint now, double in_flight);
   /// Removes the loads of gateways that have not reported for a while.
   void ExpirePeers(TimePoint now);
-  /// Calls at the server: own ones, plus those of others, which are the larger
-  /// of the sum over peers and of the server's report as it decays.
+  /// Calls at the server: this gateway's, plus those of other gateways, which
+  /// are estimated as the larger of the sum over peers and of the server's
+  /// report as it decays.
   double Load(TimePoint now) const;
 
   /// Counts the end of a call towards the failure ratio, unless it was
@@ -63,7 +65,7 @@
 
   /// Learned time of the server's calls relative to the pool's typical time: 10
   /// is ten times as slow. Decays towards 1 without new samples; overdue calls
-  /// in flight raise it at once.
+  /// in flight raise it immediately.
   double SlowFactor(TimePoint now) const;
   void AddSlowSample(TimePoint now, double factor);
   /// Scales the factor when the pool's typical times are corrected.
@@ -96,12 +98,12 @@
   std::string id_;
   bool near_;
   std::vector<OutstandingCall> calls_;
-  /// Sums over the calls in flight, for Overdue.
+  /// Sums over the calls in flight, for OverdueRatio.
   Duration start_sum_{};
   Duration expected_sum_{};
   std::vector<PeerLoad> peers_;
   double peer_sum_ = 0;
-  /// Calls of others by the server's last report.
+  /// Calls of other gateways by the server's last report.
   double reported_others_ = 0;
   std::optional<TimePoint> reported_at_;
   DecayedMean failures_;
--- a/include/citronlane/routing/engine_router.h
+++ b/include/citronlane/routing/engine_router.h
@@ -32,10 +32,10 @@
     absl::Span<const PromptSegment> prompt_;
     /// Failure domain that holds the request's inputs; empty for none.
     std::string_view near_;
-    /// Bytes that the engine would fetch from there.
+    /// Bytes that the engine would fetch from `near_`.
     uint64_t input_bytes_ = 0;
     /// This router is notified of every request of the service, or of all in
-    /// the failure domain below.
+    /// `required_domain_`.
     bool sees_all_requests_ = false;
     /// The engine must be in this failure domain; empty for any.
     std::string_view required_domain_;
--- a/include/citronlane/routing/stage_time.h
+++ b/include/citronlane/routing/stage_time.h
@@ -8,7 +8,7 @@
 /// How much of the time that is left one stage may take.
 struct StageTime {
   /// Time after which a call without any reply is worth a retry elsewhere. The
-  /// call goes on when RetryPolicy does not grant one.
+  /// call continues when RetryPolicy does not grant one.
   Duration share_{};
   /// Time after which the later stages could not finish before the deadline.
   Duration limit_{};
--- a/src/routing/candidate_picker.cc
+++ b/src/routing/candidate_picker.cc
@@ -17,9 +17,9 @@
 /// Random draws for each wanted server before the list is scanned in order.
 constexpr size_t kDrawsPerServer = 4;
 /// Factor on the cost of a server in another failure domain.
-constexpr double kFarPenalty = 1.1;
-/// Extra cost of a server all of whose calls fail, in calls.
-constexpr double kFailurePenalty = 4;
+constexpr double kFarCostFactor = 1.1;
+/// Cost added for a server all of whose calls fail, relative to its cost.
+constexpr double kFailureCostRatio = 4;
 /// Cost of the prefix's server that is accepted, relative to the best sampled
 /// one.
 constexpr double kMaxAffinityCostRatio = 1.25;
@@ -130,9 +130,9 @@
   const bool hit =
       options_.prefix_affinity_ && prefixes_->Holds(index, call.prefix_hash_);
   double cost = estimator_->ExpectedTime(server, now, call, hit, 0);
-  cost *= 1 + kFailurePenalty * server.FailureRatio(now);
+  cost *= 1 + kFailureCostRatio * server.FailureRatio(now);
   if (options_.domain_preference_ && !server.near()) {
-    cost *= kFarPenalty;
+    cost *= kFarCostFactor;
   }
   return {index, cost, server.Load(now)};
 }
--- a/src/routing/engine_router.cc
+++ b/src/routing/engine_router.cc
@@ -29,7 +29,7 @@
 /// doubles with each consecutive failure, up to the maximum.
 constexpr Duration kInitialSuspension = std::chrono::milliseconds(500);
 constexpr Duration kMaxSuspension = std::chrono::seconds(4);
-constexpr int kMaxDoublings = 3;
+constexpr int kMaxSuspensionDoublings = 3;
 
 uint32_t AllTokens(const EngineRouter::Call& call) {
   uint32_t tokens = 0;
@@ -44,8 +44,8 @@
   return call.prompt_.empty() ? 0 : call.prompt_.back().tokens_;
 }
 
-// Id of the last shared segment: the key of the preferred engine and of the
-// cache. A prompt of one segment has only that.
+// Id of the last shared segment, which selects the preferred engine and is
+// looked up among the cached ones. If the prompt has only one segment, its id.
 std::string_view SharedSegmentId(const EngineRouter::Call& call) {
   if (call.prompt_.empty()) {
     return {};
@@ -151,7 +151,7 @@
             : is_preferred;
     const double prefill = OwnTokens(call) + (is_cached ? 0 : shared);
     // A segment that no engine used lately is steered to its preferred engine,
-    // where gateways that see only their own requests assume it.
+    // where gateways that see only their own requests assume it is cached.
     const double penalty = is_cached      ? 0
                            : is_warm      ? kDuplicatePrefillWeight * shared
                            : is_preferred ? 0
@@ -225,7 +225,7 @@
       std::max(0.0, engine->pending_prefill_tokens_ - unread);
   if (IsFailure(outcome)) {
     const int doublings =
-        std::min(engine->consecutive_failures_, kMaxDoublings);
+        std::min(engine->consecutive_failures_, kMaxSuspensionDoublings);
     engine->suspended_until_ =
         now + std::min(kMaxSuspension, kInitialSuspension * (1 << doublings));
     ++engine->consecutive_failures_;
--- a/src/routing/finish_estimator.cc
+++ b/src/routing/finish_estimator.cc
@@ -5,6 +5,7 @@
 namespace citronlane {
 namespace {
 
+/// Weight of the newest sample in the moving averages.
 constexpr double kSampleWeight = 0.02;
 /// Assumed time of a call, or a token, before the first observation.
 constexpr double kUnknownTimeUs = 1000;
--- a/src/routing/hedge_policy.cc
+++ b/src/routing/hedge_policy.cc
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr double kBudgetBurst = 5;
-/// A pool under more pressure gets no hedges.
+/// Calls of a pool under more pressure are not hedged.
 constexpr double kMaxPressure = 0.5;
 
 }  // namespace
--- a/src/routing/load_curve.cc
+++ b/src/routing/load_curve.cc
@@ -7,6 +7,7 @@
 namespace citronlane {
 namespace {
 
+/// Weight of the newest sample in the moving averages of a bucket.
 constexpr double kSampleWeight = 0.05;
 
 /// Lower ends of the buckets, in calls.
--- a/src/routing/outlier_detector.cc
+++ b/src/routing/outlier_detector.cc
@@ -8,15 +8,18 @@
 namespace citronlane {
 namespace {
 
-constexpr int kConsecutiveFailures = 3;
+constexpr int kMinConsecutiveFailures = 3;
 constexpr size_t kMinOutcomes = 5;
 constexpr double kMinFailureRatio = 0.5;
-/// With a higher median over the pool, failing servers are no outliers.
+/// From this median failure ratio of the pool on, failing servers are not
+/// outliers.
 constexpr double kMaxPeerFailureRatio = 0.25;
-constexpr double kSlowOutlierFactor = 4;
+/// Slow factor, relative to the pool's median, from which a server is an
+/// outlier.
+constexpr double kSlowOutlierToMedianRatio = 4;
 constexpr size_t kMinSlowSamples = 4;
 constexpr Duration kInitialEjection = std::chrono::seconds(2);
-constexpr int kMaxDoublings = 5;
+constexpr int kMaxEjectionDoublings = 5;
 
 double Median(std::vector<double> values) {
   if (values.empty()) {
@@ -44,7 +47,7 @@
   if (peer_failure_ratio >= kMaxPeerFailureRatio) {
     return false;
   }
-  return server.consecutive_failures() >= kConsecutiveFailures ||
+  return server.consecutive_failures() >= kMinConsecutiveFailures ||
          (server.outcomes() >= kMinOutcomes &&
           server.FailureRatio(now) >= kMinFailureRatio);
 }
@@ -52,12 +55,12 @@
 bool IsSlowOutlier(const ServerState& server, TimePoint now, double median) {
   const bool known =
       server.slow_samples() >= kMinSlowSamples ||
-      server.OverdueRatio(now) >= 2 * kSlowOutlierFactor * median;
-  return known && server.SlowFactor(now) >= kSlowOutlierFactor * median;
+      server.OverdueRatio(now) >= 2 * kSlowOutlierToMedianRatio * median;
+  return known && server.SlowFactor(now) >= kSlowOutlierToMedianRatio * median;
 }
 
 TimePoint EjectionEnd(const ServerState& server, TimePoint now) {
-  const int doublings = std::min(server.ejections(), kMaxDoublings);
+  const int doublings = std::min(server.ejections(), kMaxEjectionDoublings);
   return now + kInitialEjection * (1 << doublings);
 }
 
--- a/src/routing/repeat_budget.cc
+++ b/src/routing/repeat_budget.cc
@@ -5,9 +5,10 @@
 namespace citronlane {
 namespace {
 
-/// Fraction of the bound that is used. The rest covers repeats that arrive in a
-/// later window than they were sent in, and nodes that are not known yet.
-constexpr double kUsedFraction = 0.75;
+/// Fraction of a node's bound on repeats that is used. The rest covers repeats
+/// that arrive in a later window than they were sent in, and nodes that are not
+/// known yet.
+constexpr double kUsedBoundFraction = 0.75;
 
 }  // namespace
 
@@ -23,7 +24,7 @@
   const double share =
       options_.extra_ / static_cast<double>(std::max<size_t>(1, nodes));
   const double bound =
-      kUsedFraction *
+      kUsedBoundFraction *
       (options_.ratio_ * static_cast<double>(first_.size()) + share);
   if (static_cast<double>(repeats_.size() + 1) > bound) {
     return false;
--- a/src/routing/server_state.cc
+++ b/src/routing/server_state.cc
@@ -7,8 +7,9 @@
 namespace citronlane {
 namespace {
 
-constexpr double kFailureWeight = 0.2;
-constexpr double kSlowWeight = 0.25;
+/// Weights of the newest sample in the moving averages.
+constexpr double kFailureSampleWeight = 0.2;
+constexpr double kSlowSampleWeight = 0.25;
 constexpr double kMinSlowFactor = 0.2;
 constexpr double kMaxSlowFactor = 50;
 /// Half-life of evidence against a server, while none is added.
@@ -42,8 +43,8 @@
 ServerState::ServerState(std::string id, bool near)
     : id_(std::move(id)),
       near_(near),
-      failures_(kFailureWeight),
-      slow_(kSlowWeight) {}
+      failures_(kFailureSampleWeight),
+      slow_(kSlowSampleWeight) {}
 
 void ServerState::StartCall(TimePoint now,
                             Duration expected,
--- a/src/routing/server_table.cc
+++ b/src/routing/server_table.cc
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr Duration kCheckInterval = std::chrono::milliseconds(100);
-/// Bounds the servers checked at once, since a check runs within a decision.
+/// Upper bound of the servers in one check, which runs within a routing
+/// decision.
 constexpr size_t kServersPerCheck = 64;
 /// Comparing the pool's servers reads all of them: the interval grows by one
 /// check interval for this many servers.
@@ -19,7 +20,7 @@
 constexpr uint64_t kUnknownIncarnation = 0;
 constexpr Duration kCenteringInterval = std::chrono::seconds(2);
 /// Bound of one correction of the typical times, as a factor either way.
-constexpr double kMaxCorrection = 1.5;
+constexpr double kMaxCorrectionFactor = 1.5;
 
 }  // namespace
 
@@ -143,7 +144,7 @@
   }
   const double median = OutlierDetector::MedianSlowFactor(now, servers_);
   const double correction =
-      std::clamp(median, 1 / kMaxCorrection, kMaxCorrection);
+      std::clamp(median, 1 / kMaxCorrectionFactor, kMaxCorrectionFactor);
   for (ServerState& server : servers_) {
     server.ScaleSlow(1 / correction);
   }
@@ -155,7 +156,8 @@
   CollectUsable(
       [now](const ServerState& server) { return !server.IsEjected(now); });
   if (usable_.empty()) {
-    // The others drained after the ejection: an ejected server beats none.
+    // All servers that are not draining are ejected, since the others began to
+    // drain later: an ejected server is better than none.
     CollectUsable([](const ServerState& /*server*/) { return true; });
   }
 }
