--- a/include/citronlane/admission/detail/pool_pressure.h
+++ b/include/citronlane/admission/detail/pool_pressure.h
@@ -25,7 +25,7 @@
   /// Highest fraction over all classes, smoothed over their estimates; decays
   /// without new ones.
   double At(TimePoint now) const;
-  /// The same by the last estimate of each class alone.
+  /// The same without smoothing: from the last estimate of each class alone.
   double Latest(TimePoint now) const;
 
   /// Records that interactive work was refused because of this pool's load.
--- a/include/citronlane/admission/detail/spend_share.h
+++ b/include/citronlane/admission/detail/spend_share.h
@@ -15,7 +15,7 @@
   /// savings of a minute.
   SpendShare(double floor_per_second, TimePoint now);
 
-  /// Replaces the previous lease; its unspent rest is lost, its overdraft is
+  /// Replaces the previous lease; its unspent amount is lost, its overdraft is
   /// carried over.
   void Lease(TimePoint now, double amount, TimePoint valid_until);
   /// Takes the cost; returns false and takes nothing if it is not available.
--- a/include/citronlane/config/class_config.h
+++ b/include/citronlane/config/class_config.h
@@ -23,7 +23,8 @@
   /// Largest cost of all requests of the fleet per hour, in micro-units; absent
   /// for no limit.
   std::optional<double> spend_per_hour_;
-  /// Batch work uses idle capacity and yields to interactive work at once.
+  /// Batch work uses idle capacity and yields to interactive work
+  /// immediately.
   bool batch_ = false;
 };
 
--- a/include/citronlane/fleet/pool_assignment.h
+++ b/include/citronlane/fleet/pool_assignment.h
@@ -18,7 +18,7 @@
 /// Assigns each partition of the pools to the gateway that owns it. The leader
 /// runs this and moves as little as possible: a partition changes its owner
 /// only when the owner is gone or shutting down, because a new owner does not
-/// know which results lie on the servers. It does not choose servers and sends
+/// know which results the servers hold. It does not choose servers and sends
 /// nothing. Pure: no I/O, no clock. Not thread safe.
 class PoolAssignment {
  public:
@@ -29,7 +29,7 @@
   static std::vector<PoolPartition> PartitionsAmong(const Owners& owners,
                                                     const std::string& service);
 
-  /// A gateway as the leader sees it.
+  /// A gateway that is connected to the leader.
   struct Gateway {
     std::string endpoint_;
     bool stopping_ = false;
@@ -39,10 +39,10 @@
   };
 
   /// Rank of a gateway as the next owner of a partition; higher is better.
-  /// Gateways turn to the highest-ranked one without waiting for the leader
-  /// while a partition of a new fleet has no owner, or while the owner of an
-  /// undivided pool is unreachable. The leader then names the same gateway.
-  /// Thread safe.
+  /// Gateways send work to the highest-ranked one without waiting for the
+  /// leader while a partition of a new fleet has no owner, or while the owner
+  /// of an undivided pool is unreachable. The leader then names the same
+  /// gateway. Thread safe.
   using Order = std::tuple<bool, bool, uint64_t>;
   static Order SuccessorOrder(const PoolPartition& partition,
                               const std::string& endpoint,
--- a/include/citronlane/fleet/server_states.h
+++ b/include/citronlane/fleet/server_states.h
@@ -21,7 +21,7 @@
 
   /// Returns the merged state. For known incarnations the result does not
   /// depend on the order of merging. An observation with an unknown incarnation
-  /// that says leaving applies to the present incarnation.
+  /// that reports leaving applies to the present incarnation.
   static ServerState Combine(const ServerState& present,
                              const ServerState& observed);
 
--- a/include/citronlane/serving/route_cache.h
+++ b/include/citronlane/serving/route_cache.h
@@ -23,7 +23,7 @@
 
   struct Array {
     std::vector<std::shared_ptr<const Route>> routes_;
-    /// Offset behind the closing bracket.
+    /// Offset in the text just after the array's closing bracket.
     size_t end_ = 0;
   };
 
--- a/include/citronlane/serving/route_key.h
+++ b/include/citronlane/serving/route_key.h
@@ -13,9 +13,9 @@
   struct Hash {
     size_t operator()(const RouteKey& key) const {
       // Makes the hash depend on the order of host and prefix.
-      constexpr size_t kFactor = 31;
+      constexpr size_t kHashMultiplier = 31;
       const std::hash<std::string_view> hash;
-      return hash(key.host_) * kFactor + hash(key.prefix_);
+      return hash(key.host_) * kHashMultiplier + hash(key.prefix_);
     }
   };
 
--- a/include/citronlane/stages/stage_batcher.h
+++ b/include/citronlane/stages/stage_batcher.h
@@ -167,7 +167,7 @@
     bool has_reserved_for_previous_owner_ = false;
     int consecutive_failures_ = 0;
     uint64_t held_bytes_ = 0;
-    /// For the results of calls in flight.
+    /// Capacity reserved for the results of calls in flight.
     uint64_t reserved_bytes_ = 0;
     std::map<std::string, Result> results_;
   };
--- a/src/admission/pool_pressure.cc
+++ b/src/admission/pool_pressure.cc
@@ -9,8 +9,9 @@
 /// Growth of the idle estimate per second, so that it follows a pool that
 /// became slower.
 constexpr double kIdleDriftPerSecond = 0.01;
-/// Half-life of an estimate.
+/// Half-life of a smoothed pressure.
 constexpr double kHalfLifeSeconds = 0.5;
+/// Minimum weight of the newest pressure in the smoothed one.
 constexpr double kSampleWeight = 0.3;
 /// Batch work yields for this long after a refusal.
 constexpr Duration kRefusalExpiry = std::chrono::seconds(1);
--- a/src/admission/target_margin.cc
+++ b/src/admission/target_margin.cc
@@ -5,10 +5,11 @@
 namespace citronlane {
 namespace {
 
+/// Margins are fractions of the target.
 constexpr double kInitialMargin = 0.85;
 constexpr double kMinMargin = 0.2;
 constexpr double kMaxMargin = 1.05;
-constexpr double kStepDown = 0.02;
+constexpr double kMarginStepDown = 0.02;
 /// Requests whose estimate was below this fraction of the margin are ignored: a
 /// miss then had another cause, such as a straggler.
 constexpr double kMinUsedFraction = 0.5;
@@ -24,8 +25,10 @@
     return;
   }
   const double wanted = std::min(attainment_, kMaxAttainment);
-  // Steps cancel out when misses are as frequent as the class allows.
-  const double step = met ? kStepDown * (1 - wanted) / wanted : -kStepDown;
+  // The steps up and down cancel out when misses are as frequent as the class
+  // allows.
+  const double step =
+      met ? kMarginStepDown * (1 - wanted) / wanted : -kMarginStepDown;
   value_ = std::clamp(value_ + step, kMinMargin, kMaxMargin);
 }
 
--- a/src/fleet/pool_assignment.cc
+++ b/src/fleet/pool_assignment.cc
@@ -116,8 +116,9 @@
   return HighestOf(gateways, order);
 }
 
-// Gateways detect a lost owner before the leader does and turn to this gateway.
-// If the leader named another one, the pool would change its owner twice.
+// Gateways detect a lost owner before the leader does and send work to this
+// gateway. If the leader named another one, the pool would change its owner
+// twice.
 std::string PoolAssignment::Successor(absl::Span<const Gateway> gateways,
                                       const PoolPartition& partition) const {
   const auto order = [&](const Gateway& gateway) {
@@ -158,7 +159,8 @@
   if (gateways.empty() || IsAwaitingOwnerReports(gateways, now)) {
     return false;
   }
-  // By now the gateways of a new fleet have turned to the successors.
+  // By now the gateways of a new fleet send work to the successors, so these
+  // become the owners.
   const bool is_new = IsNewFleet(gateways);
   bool changed = false;
   for (auto it = owners_.begin(); it != owners_.end();) {
@@ -177,8 +179,8 @@
     if (owned != owners_.end()) {
       owners_.erase(owned);
     }
-    // Gateways do not turn to the successor of a lost owner of a domain
-    // partition: they use the other partitions.
+    // When the owner of a domain partition is lost, gateways use the other
+    // partitions instead of a successor.
     const bool has_successor =
         is_new || (is_lost && !partition.IsDomainPartition());
     owners_[partition] = has_successor ? Successor(gateways, partition)
--- a/src/stages/stage_batcher.cc
+++ b/src/stages/stage_batcher.cc
@@ -13,10 +13,10 @@
 constexpr double kUsableCapacityRatio = 0.92;
 /// Estimate while no server takes calls: the longest time of a call.
 constexpr Duration kUnknownWait = std::chrono::seconds(5);
-/// Time to the target that one step of priority outweighs.
+/// Each step of priority orders a task as if its target were this much later.
 constexpr Duration kPriorityPenalty = std::chrono::milliseconds(800);
-/// Time to the target that the average size of a task outweighs: a saturated
-/// pool serves more requests when small ones go first.
+/// A task of average size is ordered as if its target were this much later: a
+/// saturated pool serves more requests when small ones come first.
 constexpr Duration kSizePenalty = std::chrono::milliseconds(400);
 /// Bound of a task's size relative to the average, so that large tasks are not
 /// deferred without limit.
@@ -28,8 +28,9 @@
 constexpr Duration kMaxOverdue = std::chrono::milliseconds(100);
 /// Achieved throughput relative to that of full calls.
 constexpr double kAchievedThroughputRatio = 0.8;
-/// Tasks that will miss their target go after all that can still meet it:
-/// served first, they would make the others late too.
+/// A task that will miss its target is ordered as if it were this much later,
+/// behind the tasks that can still meet theirs: served first, it would make
+/// them late too.
 constexpr Duration kLateTaskPenalty = std::chrono::seconds(10);
 
 }  // namespace
@@ -182,8 +183,9 @@
                  kUsableCapacityRatio;
 }
 
-// Pieces of one task share a call: the results of some would occupy capacity
-// until the others are done. A task too large for any call or server is split.
+// All pieces of a task are put into one call: otherwise the results of some
+// would occupy capacity until the others are done. A task too large for any
+// call or server is split.
 bool StageBatcher::FitsCall(const Task& task,
                             size_t places,
                             uint64_t capacity) const {
@@ -255,7 +257,8 @@
   };
   wait.on_time_ = time_for(preceding);
   // Late tasks, however few, get no server while tasks that are in time need
-  // them all: a new one will wait at least as long as the oldest has.
+  // all servers: a new late task will wait at least as long as the oldest late
+  // task has waited.
   wait.all_ = std::max(time_for(all), oldest);
   return wait;
 }
--- a/src/stages/stage_batcher_calls.cc
+++ b/src/stages/stage_batcher_calls.cc
@@ -34,8 +34,8 @@
   }
   // Rounded, so that small differences do not count.
   const auto step = [](const Server* server) {
-    constexpr double kSteps = 5;
-    return std::lround(server->slow_factor_ * kSteps);
+    constexpr double kStepsPerUnit = 5;
+    return std::lround(server->slow_factor_ * kStepsPerUnit);
   };
   std::sort(idle.begin(), idle.end(), [&](const Server* a, const Server* b) {
     return std::make_pair(step(a), FreeCapacity(*b)) <
--- a/src/stages/stage_batcher_results.cc
+++ b/src/stages/stage_batcher_results.cc
@@ -22,7 +22,7 @@
 /// After a failure a server gets no call for this long; the time doubles with
 /// each consecutive failure.
 constexpr Duration kInitialSuspension = std::chrono::milliseconds(300);
-constexpr int kMaxDoublings = 4;
+constexpr int kMaxSuspensionDoublings = 4;
 /// A server that refuses a call gets none for this long: it runs calls of
 /// another gateway.
 constexpr Duration kRefusalPause = std::chrono::milliseconds(60);
@@ -268,7 +268,8 @@
 }
 
 void StageBatcher::Suspend(Server* server, TimePoint now) {
-  const int doublings = std::min(server->consecutive_failures_, kMaxDoublings);
+  const int doublings =
+      std::min(server->consecutive_failures_, kMaxSuspensionDoublings);
   server->suspended_until_ = now + kInitialSuspension * (1 << doublings);
   ++server->consecutive_failures_;
 }
--- a/src/stages/stage_batcher_time.cc
+++ b/src/stages/stage_batcher_time.cc
@@ -9,7 +9,7 @@
 
 /// A call is late after this multiple of its expected time plus the margin: its
 /// server may hang.
-constexpr double kLateFactor = 2.2;
+constexpr double kLateToExpectedRatio = 2.2;
 constexpr Duration kLateMargin = std::chrono::milliseconds(150);
 /// Time in which a server fetches the inputs of a call it has started: a few
 /// megabytes over gigabit links, and a few milliseconds of latency.
@@ -65,7 +65,7 @@
 void StageBatcher::HedgeLateCalls(TimePoint now) {
   for (auto& [number, call] : calls_) {
     const auto late = std::chrono::duration_cast<Duration>(
-        call.expected_ * kLateFactor + kLateMargin);
+        call.expected_ * kLateToExpectedRatio + kLateMargin);
     if (call.hedged_ || now - call.started_ < late) {
       continue;
     }
@@ -75,7 +75,7 @@
       // Either the server is slow or only this reply was lost: the next call
       // will show, so the server may take it.
       Server& server = found->second;
-      server.slow_factor_ = std::max(server.slow_factor_, kLateFactor);
+      server.slow_factor_ = std::max(server.slow_factor_, kLateToExpectedRatio);
       --server.calls_;
       StartQueuedCall(&server, number, now);
     }
