--- a/include/citronlane/relay/engine_placement.h
+++ b/include/citronlane/relay/engine_placement.h
@@ -34,11 +34,12 @@
 }  // namespace wire::fleet
 
 /// Assigns requests to the engines of a service through one placement owner for
-/// each partition, which knows the load that all gateways put on its engines. A
-/// gateway by itself knows only its own requests, a small fraction of an
+/// each partition, which knows the load that all gateways put on its engines.
+/// Each gateway alone knows only its own requests, a small fraction of an
 /// engine's queue in a large fleet. This class sends questions to the placement
 /// owners and replies for the partitions that this gateway owns. A gateway that
-/// gets no reply chooses an engine by itself. Used on the event loop's thread.
+/// gets no reply chooses an engine from its own estimates. Used on the event
+/// loop's thread.
 class EnginePlacement {
  public:
   /// Called with the id of the chosen server; empty when no engine can be
@@ -59,9 +60,9 @@
 
   /// Purpose of a placement question.
   enum class Purpose {
-    /// The request goes to the engine now.
+    /// The request will be sent to the engine now.
     kStart,
-    /// The request will go to the engine after its stages.
+    /// The request will be sent to the engine after its stages.
     kPlan,
   };
 
--- a/include/citronlane/relay/fleet_view.h
+++ b/include/citronlane/relay/fleet_view.h
@@ -35,15 +35,15 @@
   /// Takes a server list that was read at `read`, unless the present one was
   /// read later. Of each server the current incarnation is kept.
   void SetServers(std::vector<BackendServer> servers, TimePoint read);
-  /// Marks servers of these failure domains as taking no new work, whatever the
-  /// list says.
+  /// Marks servers of these failure domains as taking no new work, whatever
+  /// their state in the server list.
   void SetDrained(DrainedDomains::Names domains);
   /// The present list was read again at `read` and is unchanged.
   void ConfirmServers(TimePoint read);
   /// Replaces the list of gateways.
   void SetGateways(std::vector<Gateway> gateways);
-  /// Takes the owners of the partitions if `number` is higher than the present
-  /// one's.
+  /// Takes the owners of the partitions if `number` is higher than that of the
+  /// present owners.
   void SetOwners(uint64_t number, PoolAssignment::Owners owners);
 
   /// Null before the first configuration.
--- a/include/citronlane/relay/owner_table.h
+++ b/include/citronlane/relay/owner_table.h
@@ -13,10 +13,10 @@
 class FleetView;
 
 /// Finds the owner of a partition of a service's pool: the gateway that control
-/// named. While it is unreachable, work goes to another partition; no gateway
-/// takes over its servers. Only an undivided pool, or a partition without a
-/// named owner, has a successor, which all gateways compute alike. Pure: no
-/// I/O, no clock. Not thread safe.
+/// named. While it is unreachable, work is sent to another partition; no
+/// gateway takes over its servers. Only an undivided pool, or a partition
+/// without a named owner, has a successor, which all gateways compute alike.
+/// Pure: no I/O, no clock. Not thread safe.
 class OwnerTable {
  public:
   /// `view` must outlive the object; `own_endpoint` is this gateway's.
--- a/include/citronlane/relay/placed_engine.h
+++ b/include/citronlane/relay/placed_engine.h
@@ -41,7 +41,7 @@
   /// Partition that contains the engine. Precondition: is_placed_here() or
   /// is_placed_elsewhere().
   const PoolPartition& partition() const { return partition_; }
-  /// The request goes to an engine that no placement owner assigned.
+  /// The request will be sent to an engine that no placement owner assigned.
   void Detach() { is_placed_here_ = is_placed_elsewhere_ = false; }
 
   /// Suspends the handler until the placement owner names an engine that is not
@@ -52,8 +52,8 @@
   std::string RequestEngine(EnginePlacement::Purpose purpose,
                             const EngineRouter::Call& call,
                             absl::Span<const std::string> excluded);
-  /// The request does not go to the engine. Like the next two functions, it
-  /// does nothing when no engine was requested.
+  /// The request will not be sent to the engine. Like the next two functions,
+  /// it does nothing when no engine was requested.
   void Cancel();
   /// The engine has read the request.
   void NoteFirstEvent();
--- a/include/citronlane/relay/pool_partition_codec.h
+++ b/include/citronlane/relay/pool_partition_codec.h
@@ -11,7 +11,7 @@
   return {message.service(), message.part_domain()};
 }
 
-/// Writes the partition into such a message. Thread safe.
+/// Writes the partition that a message between gateways refers to. Thread safe.
 template <typename Message>
 void EncodePartition(const PoolPartition& partition, Message* message) {
   message->set_service(partition.service_);
--- a/include/citronlane/relay/relay_request.h
+++ b/include/citronlane/relay/relay_request.h
@@ -30,8 +30,8 @@
 
 /// Serves one request: runs its stages, calls a backend server, retries where
 /// the route's kind allows it, and responds to the caller exactly once. It
-/// neither admits requests nor finds their routes; see RelayService. Lives in
-/// the handler of its connection.
+/// neither admits requests nor finds their routes; see RelayService. Used
+/// by the handler of its connection only.
 class RelayRequest {
  public:
   /// All must outlive the object.
--- a/include/citronlane/relay/service_router.h
+++ b/include/citronlane/relay/service_router.h
@@ -40,8 +40,8 @@
   std::optional<std::string> Choose(TimePoint now,
                                     const EngineRouter::Call& call,
                                     absl::Span<const std::string> excluded);
-  /// Failure domain of the engine that the call would probably go to; empty for
-  /// services without engines.
+  /// Failure domain of the engine that the call would probably be sent to;
+  /// empty for services without engines.
   std::string PreferredFailureDomain(TimePoint now,
                                      const EngineRouter::Call& call);
   /// See EngineRouter; these do nothing for other servers' prompts.
--- a/include/citronlane/relay/stage_owners.h
+++ b/include/citronlane/relay/stage_owners.h
@@ -35,10 +35,10 @@
 /// Sends stage tasks to the gateway that owns their pool partition, this
 /// gateway or another, and serves other gateways' tasks for the partitions
 /// owned here. Each partition has one owner, named by control, so that its
-/// calls carry pieces of many requests. When the owner is lost, its tasks go to
-/// another partition or, if the pool is undivided, to its next owner; a piece
-/// may then be made twice. It forms no calls itself; StagePool does. Used on
-/// the event loop's thread.
+/// calls carry pieces of many requests. When the owner is lost, its tasks are
+/// sent to another partition or, if the pool is undivided, to its next owner; a
+/// piece may then be made twice. It forms no calls itself; StagePool does. Used
+/// on the event loop's thread.
 class StageOwners {
  public:
   using Done = std::function<void(const StageOutcome& outcome)>;
@@ -95,11 +95,12 @@
 
  private:
   enum class JobState {
-    /// No owner knows of it.
+    /// No owner was notified of it, or the notified one is lost.
     kUnplaced,
     kAnnounced,
     kSubmitted,
-    /// Handed back; without an owner until it is placed again.
+    /// Returned by its owner, or its owner is lost; without an owner until it
+    /// is placed again.
     kMoving,
   };
   struct Job {
@@ -117,7 +118,8 @@
     /// Number of the task or announcement in the pool that runs here.
     uint64_t local_ = 0;
     uint32_t moves_ = 0;
-    /// A lost owner had it: pieces of it may have been made.
+    /// It was submitted to an owner that was lost later: pieces of it may have
+    /// been made.
     bool may_have_run_ = false;
   };
   /// A task or announcement of another gateway.
--- a/include/citronlane/relay/stage_runner.h
+++ b/include/citronlane/relay/stage_runner.h
@@ -56,9 +56,9 @@
   /// domain. Suspends the handler for a moment.
   std::string CompareWith(std::string failure_domain);
 
-  /// Expected time until the response begins, by the waits that the pools
-  /// reported: behind everything that waits there, or only behind what may meet
-  /// its target.
+  /// Expected time until the response begins, computed from the waits that the
+  /// pools reported: behind all their pieces, or (`behind_all` is false) only
+  /// behind those that can still meet their target.
   Duration ExpectedTime(bool behind_all) const;
 
   /// The request cannot meet its target: its pieces come after those of
--- a/include/citronlane/relay/waker.h
+++ b/include/citronlane/relay/waker.h
@@ -21,7 +21,7 @@
 
   /// Wakes the handler unless it is detached.
   void Wake();
-  /// Wakes the handler; every wait ends at once from now on.
+  /// Wakes the handler; every wait ends immediately from now on.
   void Expire();
   /// Call when the handler returns: nothing wakes it any more.
   void Detach();
--- a/src/relay/control_watch.cc
+++ b/src/relay/control_watch.cc
@@ -169,8 +169,8 @@
   if (!has_config) {
     return;
   }
-  // Acknowledged whether it was applied or not: control sends the next one only
-  // then.
+  // The update is acknowledged whether it was applied or not: control sends the
+  // next one only after that.
   const TimePoint now = SteadyNow();
   candidate.confirm_at_ = now + PauseAfterUpdate(now - begun);
   if (now >= *candidate.confirm_at_) {
--- a/src/relay/gateway_host.cc
+++ b/src/relay/gateway_host.cc
@@ -290,7 +290,7 @@
   relay_.SetStopDeadline(stop_began_ + settings_.grace_ - kGiveUpReserve);
   callers_.CloseAfterReplies();
   watch_.SetStopping();
-  // By then the other gateways know that this one no longer owns pools.
+  // After this time the other gateways know that this one no longer owns pools.
   const auto timer =
       std::make_shared<boost::asio::steady_timer>(io_, kPropagationTime);
   timer->async_wait([this, timer](const boost::system::error_code&) {
--- a/src/relay/gateway_host_feed.cc
+++ b/src/relay/gateway_host_feed.cc
@@ -93,7 +93,7 @@
   std::vector<std::string> faults;
   auto config = dialect_->read_config_(received_config_.document(), &faults);
   if (!config) {
-    // Control rejects such a document, so it runs another version of the
+    // Control rejects such a document, so control runs another version of the
     // software.
     log_->Write("gateway", "config not readable",
                 {{"faults", static_cast<uint64_t>(faults.size())}});
@@ -167,8 +167,8 @@
               {{"entries", static_cast<uint64_t>(unusable)}});
 }
 
-// Gateways share the call rate: the delay grows with their number and the
-// list's pages.
+// All gateways share one limit on the rate of list calls: the delay between two
+// reads grows with the number of gateways and of the list's pages.
 void GatewayHost::Impl::ReadStaleList(TimePoint now) {
   const auto age = view_.ServersAge(now);
   const bool is_stale = !age || *age >= kStaleListAge;
--- a/src/relay/relay_request.cc
+++ b/src/relay/relay_request.cc
@@ -26,17 +26,18 @@
 constexpr uint32_t kMaxRefusals = 2;
 /// Stages whose results were lost are run again once.
 constexpr uint32_t kMaxStageReruns = 1;
-/// Urgency for engines: 0 is first, 9 is last.
+/// Urgency for engines: 0 is first, 9 is last. A late request is deferred by
+/// kLateUrgencyStep.
 constexpr uint32_t kFirstUrgency = 1;
 constexpr uint32_t kUrgencyPerPriority = 2;
-constexpr uint32_t kLateUrgency = 2;
+constexpr uint32_t kLateUrgencyStep = 2;
 constexpr uint32_t kLastUrgency = 9;
 /// Fraction of the caller's remaining time within which a late response is
 /// attempted; the rest covers errors of the estimate.
 constexpr double kLateResponseFraction = 0.45;
 /// Factor applied to an estimate before it is compared with the target: in a
 /// burst the queues of later stages are still growing.
-constexpr double kEstimateFactor = 1.1;
+constexpr double kEstimateSafetyFactor = 1.1;
 constexpr int kFirstServerError = 500;
 
 }  // namespace
@@ -116,15 +117,16 @@
 
 bool RelayRequest::MeetsTarget() const {
   const Duration expected = stages_.ExpectedTime(false);
-  return std::chrono::duration_cast<Duration>(expected * kEstimateFactor) <=
-         job_->target_ - SteadyNow();
+  return std::chrono::duration_cast<Duration>(
+             expected * kEstimateSafetyFactor) <= job_->target_ - SteadyNow();
 }
 
 // Tries one other failure domain, drawn anew for each request: if all moved to
 // the least busy one, it would become the busiest.
 void RelayRequest::TryOtherDomain() {
-  constexpr uint64_t kDraws = 1 << 20;
-  const std::string other = stages_.OtherDomain(context_->random_(kDraws));
+  constexpr uint64_t kRandomValues = 1 << 20;
+  const std::string other =
+      stages_.OtherDomain(context_->random_(kRandomValues));
   if (other.empty()) {
     return;
   }
@@ -215,7 +217,7 @@
   const bool is_late = SteadyNow() > job_->target_;
   return std::min(kLastUrgency, kFirstUrgency +
                                     kUrgencyPerPriority * job_->priority_ +
-                                    (is_late ? kLateUrgency : 0));
+                                    (is_late ? kLateUrgencyStep : 0));
 }
 
 RelayRequest::AttemptResult RelayRequest::RunAttempt(
--- a/src/relay/relay_request_replies.cc
+++ b/src/relay/relay_request_replies.cc
@@ -26,7 +26,7 @@
 /// another server.
 constexpr int kStallGapRatio = 3;
 constexpr Duration kMinStallLimit = std::chrono::milliseconds(1000);
-/// A server has fetched the request's inputs by then.
+/// Time in which a server fetches the inputs of a request.
 constexpr Duration kInputFetchTime = std::chrono::milliseconds(150);
 constexpr int kFirstServerError = 500;
 constexpr int kOk = 200;
--- a/src/relay/relay_request_server.cc
+++ b/src/relay/relay_request_server.cc
@@ -18,8 +18,9 @@
   for (const WeightedService& weighted : split) {
     sum += std::max(0.0, weighted.weight_);
   }
-  constexpr uint64_t kSteps = 1 << 20;
-  double draw = sum * static_cast<double>(context_->random_(kSteps)) / kSteps;
+  constexpr uint64_t kRandomValues = 1 << 20;
+  double draw = sum * static_cast<double>(context_->random_(kRandomValues)) /
+                kRandomValues;
   for (const WeightedService& weighted : split) {
     if (weighted.weight_ > 0 && draw < weighted.weight_) {
       return weighted.service_;
@@ -40,7 +41,8 @@
     if (server != nullptr && !server->leaving_) {
       return server;
     }
-    // The two gateways' lists differ in age, or there was no reply.
+    // The placement owner's server list is older or newer than this gateway's,
+    // or there was no reply.
     engine_.Cancel();
   }
   auto id = router_->Choose(SteadyNow(), RouterCall(), tried_);
@@ -65,7 +67,7 @@
 }
 
 // Domain of the engine that will run the request after its stages: large
-// results are best made there.
+// results are best produced there.
 std::string RelayRequest::PlannedDomain() {
   router_->Update(*context_->view_, SteadyNow());
   if (context_->view_->IsDivided(service_->name_)) {
--- a/src/relay/relay_responses.cc
+++ b/src/relay/relay_responses.cc
@@ -20,7 +20,7 @@
       // Control VMs that all restart have elected a leader by about this time.
       return "1.4";
     case RefusalReason::kDeadlineUnreachable:
-      // Part of a burst has been served by then.
+      // By then the pools have served part of a burst.
       return "1";
     default:
       // By then another server is found, or a failed one excluded.
--- a/src/relay/stage_owners.cc
+++ b/src/relay/stage_owners.cc
@@ -93,9 +93,9 @@
   LinkTo(job.owner_)->Send(frame);
 }
 
-// Withdraws the job from its owner. Returns whether no piece was handed to a
-// server meanwhile, which is unknown for a task that was sent to another
-// gateway.
+// Withdraws the job from its owner. Returns whether it is certain that this
+// owner handed no piece to a server; it is not for a task that was submitted to
+// another gateway.
 bool StageOwners::WithdrawFromOwner(uint64_t number, const Job& job) {
   if (job.state_ == JobState::kUnplaced || job.state_ == JobState::kMoving) {
     return true;
@@ -119,8 +119,8 @@
 }
 
 // An owner that receives the job, or another announcement with its number,
-// drops the previous one by itself. This gateway's own pool and a previous
-// owner must be notified.
+// drops the previous announcement without a request to do so. Only this
+// gateway's own pool and a previous owner must be notified.
 void StageOwners::WithdrawIfElsewhere(uint64_t number, const Job& job) {
   if (job.owner_.empty() ||
       job.owner_ != owners_.OwnerOf(PartitionOf(number, job), SteadyNow())) {
@@ -201,11 +201,12 @@
   if (it == jobs_.end()) {
     return;
   }
-  // The reporting owner knows only its own calls.
+  // The outcome covers only the calls of the last owner, not those of an owner
+  // that was lost earlier.
   outcome.not_run_ = outcome.not_run_ && !it->second.may_have_run_;
   if (outcome.result_ == Result::kMoved) {
     it->second.state_ = JobState::kMoving;
-    // Deferred, since the pool that had it is running.
+    // Deferred, since this may run within a call of the pool that had the task.
     boost::asio::post(*io_, [this, number] { Place(number); });
     return;
   }
@@ -247,8 +248,8 @@
       TakeFrame(endpoint, *frame);
     };
     // The tasks of the lost connection are collected now, since the next task
-    // uses a new connection. The rest is deferred, since the link may be lost
-    // within Send().
+    // uses a new connection. OwnerLost() is deferred, since the link may be
+    // lost within Send().
     hooks.lost_ = [this, endpoint](FrameLink::Loss loss) {
       const bool is_gone = loss != FrameLink::Loss::kEnded;
       const bool may_have_them = loss != FrameLink::Loss::kNoConnection;
@@ -299,8 +300,8 @@
   return moved;
 }
 
-// An owner that only closed the connection is tried again; if it is gone, it
-// accepts no new connection.
+// `is_gone` is false for an owner that only closed the connection: it is tried
+// again, and a new connection fails if it has ended.
 void StageOwners::OwnerLost(const std::string& owner,
                             bool is_gone,
                             const std::vector<uint64_t>& moved) {
--- a/src/relay/stage_owners_free.cc
+++ b/src/relay/stage_owners_free.cc
@@ -96,8 +96,8 @@
   freed_ = std::move(kept);
 }
 
-// Frees the results that were delivered while their request was ending, since
-// nothing there will free them.
+// Frees results that were delivered to a gateway whose request had ended: it
+// cancelled the task and ignores the results, so it does not free them.
 void StageOwners::FreeDelivered(const ServedKey& key) {
   const auto it = std::find_if(
       delivered_.begin(), delivered_.end(),
--- a/src/relay/stage_pool.cc
+++ b/src/relay/stage_pool.cc
@@ -279,7 +279,8 @@
   for (auto& [address, handles] : batcher_.TakeDiscardedResults()) {
     StageCallSpec spec = SpecFor(address, "POST", dialect_->free_results_path_,
                                  now + kFreeTimeout);
-    // A late duplicate reply could be mistaken for that of a stage call.
+    // Separate connections: on those of stage calls, a late duplicate reply
+    // could be mistaken for the reply to a stage call.
     spec.connection_group_ = " frees";
     spec.headers_.push_back({"Content-Type", "application/json"});
     spec.body_ = dialect_->write_free_results_(handles);
--- a/src/relay/stage_runner.cc
+++ b/src/relay/stage_runner.cc
@@ -178,7 +178,7 @@
   for (const uint32_t before : after) {
     AddBytes(before, &bytes);
   }
-  // Every piece fetches all of them.
+  // Every piece fetches the results of all these stages.
   uint64_t fetched = 0;
   for (const auto& [domain, size] : bytes) {
     fetched += size * stages_[index].pieces_;
--- a/src/relay/stage_runner_estimates.cc
+++ b/src/relay/stage_runner_estimates.cc
@@ -28,9 +28,9 @@
   return forecast;
 }
 
-// Minimum time that the request still needs after this stage. If stages worked
-// towards the request's own target, they would serve first what is already
-// late.
+// Minimum time that the request still needs after this stage. If a stage used
+// the request's own target, it would serve first the requests that are already
+// too late to meet it.
 Duration StageRunner::TimeAfter(size_t index) const {
   Duration longest = kFirstEventTime;
   for (size_t i = index + 1; i < stages_.size(); ++i) {
