--- a/src/relay/gateway_host.cc
+++ b/src/relay/gateway_host.cc
@@ -161,7 +161,7 @@
   HttpListenerHooks hooks;
   hooks.misused_ = [this](const HttpRequest& request, std::string_view what) {
     log_->Write(
-        "relay", "answer not sent",
+        "relay", "response not sent",
         {{"request", dialect_->read_request_(request.headers_).request_id_},
          {"why", what}});
   };
--- a/src/relay/gateway_host_feed.cc
+++ b/src/relay/gateway_host_feed.cc
@@ -95,7 +95,7 @@
   if (!config) {
     // Control rejects such a document, so it runs another version of the
     // software.
-    log_->Write("gateway", "config not readable",
+    log_->Write("gateway", "config invalid",
                 {{"faults", static_cast<uint64_t>(faults.size())}});
     return;
   }
