--- a/tests/unit-reference.cc
+++ b/tests/unit-reference.cc
@@ -236,7 +236,8 @@
       }
     }
     for (const std::string& name :
-         Found("src/control/control_metrics.cc", R"re(Add\("([a-z_]+)")re")) {
+         Found("src/control/control_metrics.cc",
+               R"re(AppendMetric\(\s*"([a-z_]+)")re")) {
       INFO(name);
       CHECK(Mentions(page, "citronlane_control_" + name));
     }
