--- a/include/citronlane/consensus/detail/membership_history.h
+++ b/include/citronlane/consensus/detail/membership_history.h
@@ -33,7 +33,8 @@
   void Compact(uint64_t index);
   /// Replaces the history by the membership of a snapshot at `index`.
   void Reset(uint64_t index, Membership membership);
-  /// The membership in force at `index`, not above the last entry.
+  /// Returns the membership in force at `index`. Precondition: `index` is not
+  /// above that of the last entry.
   const Membership& At(uint64_t index) const;
 
  private:
--- a/include/citronlane/consensus/detail/raft_impl.h
+++ b/include/citronlane/consensus/detail/raft_impl.h
@@ -63,7 +63,7 @@
     std::string data_;
   };
 
-  // raft_node.cc
+  // Defined in raft_node.cc.
   bool IsVoter(uint64_t id) const;
   bool IsLeader() const { return role_ == Role::kLeader; }
   bool IsForeignIncarnation(const Message& message) const;
@@ -75,7 +75,7 @@
   void Dispatch(const Message& message);
   bool CanPropose(Error* error) const;
 
-  // raft_election.cc
+  // Defined in raft_election.cc.
   void ResetElectionDeadline();
   bool HasRecentLeaderContact() const;
   void RecordLeaderContact(uint64_t leader);
@@ -92,7 +92,7 @@
   void HandleVoteReply(const Message& message);
   void HandleTimeoutNow();
 
-  // raft_replication.cc
+  // Defined in raft_replication.cc.
   void ReplicateToAll();
   void Replicate(uint64_t id, Progress* progress);
   void ReplicatePipelined(uint64_t id, Progress* progress);
@@ -104,7 +104,7 @@
   void HandleAppendReject(Progress* progress, const Message& message);
   void MaybeCommit();
 
-  // raft_lease.cc
+  // Defined in raft_lease.cc.
   void TickLeader();
   void BroadcastHeartbeat();
   void HandleHeartbeat(const Message& message);
@@ -114,17 +114,18 @@
   void ConfirmReads();
   void MaybeFinishTransfer(uint64_t id, const Progress& progress);
 
-  // raft_membership.cc
+  // Defined in raft_membership.cc.
   void SyncProgress();
   void StepDownIfRemoved();
   bool IsCaughtUp(uint64_t id) const;
 
-  // raft_snapshot.cc
+  // Defined in raft_snapshot.cc.
   void SendSnapshotPart(uint64_t id, Progress* progress);
   void ResendLostParts();
   void HandleSnapshotPart(const Message& message);
   void HandleSnapshotReply(const Message& message);
   void InstallSnapshot(const Message& last_part);
+  // Defined in raft_replication.cc.
   void AcknowledgeAppend(const Message& message, uint64_t index);
 
   const RaftOptions options_;
--- a/include/citronlane/consensus/raft_node.h
+++ b/include/citronlane/consensus/raft_node.h
@@ -76,8 +76,8 @@
   bool StartRead(TimePoint now, uint64_t context, Error* error);
 
   /// Transfers the leadership to the voter `to`, or with 0 to the one with the
-  /// longest log, for the graceful stop of a leader. The lease ends at once and
-  /// proposals are refused from then on; without a new leader within an
+  /// longest log, for the graceful stop of a leader. The lease ends immediately
+  /// and proposals are refused from then on; without a new leader within an
   /// election timeout this node steps down. Does nothing when this node is not
   /// the leader, a transfer is in progress or `to` is not another voter.
   void TransferLeadership(TimePoint now, uint64_t to);
--- a/include/citronlane/consensus/raft_options.h
+++ b/include/citronlane/consensus/raft_options.h
@@ -18,7 +18,8 @@
   /// random addition of up to as much again.
   Duration election_timeout_ = std::chrono::milliseconds(300);
   /// A leader without replies of a quorum for this long steps down. Shorter
-  /// than election_timeout_, so that two leaders never act at once.
+  /// than election_timeout_, so that there are never two acting leaders at the
+  /// same time.
   Duration leader_lease_ = std::chrono::milliseconds(250);
   size_t max_entries_per_append_ = 512;
   size_t max_bytes_per_append_ = 1 << 20;
--- a/include/citronlane/consensus/ready.h
+++ b/include/citronlane/consensus/ready.h
@@ -20,7 +20,7 @@
   /// Entries to store; they replace the stored log from the first of them on.
   std::vector<Entry> entries_;
   std::optional<Snapshot> snapshot_;
-  /// Messages that may be sent before the sync (those of a leader).
+  /// A leader's messages, which may be sent before the sync.
   std::vector<Message> early_messages_;
   /// Messages to send only once everything above is synced to disk.
   std::vector<Message> messages_;
--- a/include/citronlane/state/config_proposer.h
+++ b/include/citronlane/state/config_proposer.h
@@ -18,7 +18,7 @@
 /// safe.
 class ConfigProposer {
  public:
-  /// Result of a submission. When `is_committed` is false, `reason` says why
+  /// Result of a submission. When `is_committed` is false, `reason` is why
   /// the document is not known to be committed; it may be committed later.
   using Done =
       std::function<void(bool is_committed, const std::string& reason)>;
--- a/include/citronlane/state/state_limits.h
+++ b/include/citronlane/state/state_limits.h
@@ -19,7 +19,7 @@
   uint64_t claim_retention_ms_ = 24ULL * 3600 * 1000;
   /// How long a released claim is kept, to reject late duplicates of its call.
   uint64_t release_retention_ms_ = 60ULL * 1000;
-  /// Claims held at once. More are refused; none is removed early.
+  /// Maximum number of claims held. More are refused; none is removed early.
   uint64_t max_claims_ = 1000000;
   /// Maximum size in bytes of one stored answer and of all together. An answer
   /// beyond either is not stored; its claim is kept.
--- a/include/citronlane/storage/detail/record.h
+++ b/include/citronlane/storage/detail/record.h
@@ -17,7 +17,7 @@
   kMembershipEntry = 2,
   /// Term and vote: `term_` and `index_`.
   kHardState = 16,
-  /// Entries from `index_` on are void.
+  /// Entries from `index_` on were truncated.
   kTruncate = 17,
   /// A snapshot of (`index_`, `term_`) is durable; the log continues after it.
   kSnapshotMark = 18,
--- a/src/consensus/raft_replication.cc
+++ b/src/consensus/raft_replication.cc
@@ -41,7 +41,7 @@
         SendAppend(id, progress, options_.max_entries_per_append_);
     progress->inflight_.push_back(progress->next_ - 1);
   }
-  // Followers serve watches, so a new commit index is sent at once.
+  // Followers serve watches, so a new commit index is sent immediately.
   if (progress->sent_commit_ < std::min(log_.commit(), progress->match_)) {
     SendAppend(id, progress, 0);
   }
--- a/src/consensus/raft_snapshot.cc
+++ b/src/consensus/raft_snapshot.cc
@@ -6,8 +6,9 @@
 namespace citronlane {
 namespace {
 
-// A part without a reply for this many heartbeat intervals is sent again.
-constexpr int kResendHeartbeats = 4;
+// A part of a snapshot that got no reply for this many heartbeat intervals is
+// sent again.
+constexpr int kResendIntervalHeartbeats = 4;
 
 }  // namespace
 
@@ -37,7 +38,7 @@
   for (auto& [id, progress] : progress_) {
     if (progress.mode_ == Progress::Mode::kSnapshot &&
         now_ >= progress.part_sent_ +
-                    kResendHeartbeats * options_.heartbeat_interval_) {
+                    kResendIntervalHeartbeats * options_.heartbeat_interval_) {
       SendSnapshotPart(id, &progress);
     }
   }
--- a/src/state/claim_table.cc
+++ b/src/state/claim_table.cc
@@ -5,10 +5,11 @@
 namespace citronlane {
 namespace {
 
-/// Maximum claims removed by one command, so that no command takes long.
-constexpr size_t kMaxExpiredAtOnce = 64;
-/// Maximum released calls kept for one key.
-constexpr int kMaxReleased = 16;
+/// Maximum number of expired claims that one command removes, so that no
+/// command takes long.
+constexpr size_t kMaxExpiredPerCommand = 64;
+/// Maximum number of released calls recorded for one key.
+constexpr int kMaxReleasedPerKey = 16;
 
 template <typename Command>
 bool IsOwner(const wire::ClaimRecord& record, const Command& command) {
@@ -33,7 +34,7 @@
   if (WasReleased(*record, command)) {
     return;
   }
-  if (record->released_size() >= kMaxReleased) {
+  if (record->released_size() >= kMaxReleasedPerKey) {
     record->mutable_released()->DeleteSubrange(0, 1);
   }
   wire::ReleasedClaim* released = record->add_released();
@@ -142,7 +143,7 @@
 }
 
 void ClaimTable::Expire(uint64_t time_ms) {
-  for (size_t count = 0; count < kMaxExpiredAtOnce; ++count) {
+  for (size_t count = 0; count < kMaxExpiredPerCommand; ++count) {
     if (expiries_.empty() || expiries_.begin()->first > time_ms) {
       return;
     }
@@ -196,8 +197,9 @@
 bool ClaimTable::Release(uint64_t time_ms,
                          const wire::FinishCommand& command,
                          const Key& key) {
-  // A release may overtake its claim. It is recorded even when there is nothing
-  // to release, so that the late claim is not granted to a call that has ended.
+  // A release may arrive before its claim. It is recorded even when there is
+  // nothing to release, so that the late claim is not granted to a call that
+  // has ended.
   const bool is_new = claims_.count(key) == 0;
   wire::ClaimRecord& record = claims_[key];
   const bool owned =
--- a/src/state/configuration_history.cc
+++ b/src/state/configuration_history.cc
@@ -10,7 +10,7 @@
 namespace citronlane {
 namespace {
 
-/// Maximum change ids kept at once. Changes beyond it are refused, since a
+/// Maximum number of change ids kept. Changes beyond it are refused, since a
 /// resend of a change whose id was removed early would be applied again.
 constexpr size_t kMaxChangeIds = 100000;
 
