--- a/include/citronlane/control/cluster_member.h
+++ b/include/citronlane/control/cluster_member.h
@@ -63,7 +63,7 @@
   void SetSeeds(std::vector<std::string> seeds);
 
   /// Handles a frame of another control VM. Returns false when the frame is of
-  /// another kind. `channel` is where a reply goes; it may be null for Raft
+  /// another kind. Replies are sent on `channel`; it may be null for Raft
   /// messages.
   bool HandleFrame(const std::shared_ptr<FrameChannel>& channel,
                    wire::fleet::Frame* frame,
@@ -86,7 +86,8 @@
   uint64_t term() const;
   /// Internal endpoint of the leader; empty when not known.
   std::string leader() const;
-  /// Internal endpoints of the voters; the seeds while there are none.
+  /// Internal endpoints of the voters, or the seed addresses of the settings
+  /// while no voter is known.
   std::vector<std::string> members() const;
   /// Whether there are as many voters as the tolerated losses need.
   bool has_all_voters() const;
@@ -149,7 +150,7 @@
   bool leads_ = false;
   std::map<std::string, std::unique_ptr<FrameLink>> links_;
   /// Channel on which each node's last message arrived. Replies to nodes that
-  /// the membership does not name yet go there.
+  /// are not yet in the membership are sent on it.
   std::map<uint64_t, std::weak_ptr<FrameChannel>> channels_;
   /// Log format reported by each node's last message.
   std::map<uint64_t, uint32_t> log_formats_;
--- a/include/citronlane/control/control_node_hooks.h
+++ b/include/citronlane/control/control_node_hooks.h
@@ -8,8 +8,8 @@
 
 namespace citronlane {
 
-/// Hooks that a control node calls. Each may be called from several of the
-/// node's threads at once, and may be empty.
+/// Hooks that a control node calls. Each may be called concurrently from
+/// several of the node's threads, and may be empty.
 struct ControlNodeHooks {
   /// Receives one log line without its line feed.
   std::function<void(std::string_view)> log_;
--- a/include/citronlane/control/control_options.h
+++ b/include/citronlane/control/control_options.h
@@ -41,12 +41,12 @@
   std::string platform_;
   Duration platform_interval_ = std::chrono::milliseconds(500);
   /// Rate limit, over the fleet, for engine orders that read from the weight
-  /// store: orders per second, and the burst allowed at once.
+  /// store: orders per second, and the maximum burst of orders.
   double weight_store_rate_ = 1.0;
   uint32_t weight_store_burst_ = 2;
   /// How long a leased share of a spend limit is valid.
   Duration spend_lease_ = std::chrono::seconds(5);
-  /// Maximum watch streams and pending calls served at once.
+  /// Maximum numbers of open watch streams and of pending calls.
   size_t max_watchers_ = 1024;
   size_t max_pending_calls_ = 8192;
   TlsFiles internal_tls_;
--- a/include/citronlane/control/detail/cluster_formation.h
+++ b/include/citronlane/control/detail/cluster_formation.h
@@ -24,7 +24,7 @@
                    std::set<uint64_t> others);
 
   /// Handles a voter's greeting reply to round `round` and returns the new
-  /// state. Rounds increase by one; each goes to all voters.
+  /// state. Rounds increase by one; each is sent to all voters.
   State HandleGreeting(uint64_t round, const ReplicationGreeting& greeting);
 
   State state() const { return state_; }
--- a/include/citronlane/control/detail/gateway_observation.h
+++ b/include/citronlane/control/detail/gateway_observation.h
@@ -8,12 +8,13 @@
 
 namespace citronlane {
 
-/// What one control VM knows of a gateway from its registration and its last
-/// lease renewal.
+/// State of a gateway as one control VM knows it from its registration and its
+/// last lease renewal.
 struct GatewayObservation {
   uint64_t incarnation_ = 0;
   std::string failure_domain_;
-  /// Configuration version in force there, and when it was first reported here.
+  /// Configuration version in force at the gateway, and when this VM first
+  /// received a report of it.
   uint64_t version_ = 0;
   TimePoint since_{};
   /// Last registration or lease renewal.
--- a/include/citronlane/control/detail/replica_impl.h
+++ b/include/citronlane/control/detail/replica_impl.h
@@ -67,14 +67,14 @@
     bool IsEmpty() const;
   };
 
-  // replica.cc: start, stop, and the calls of other threads.
+  // Defined in replica.cc: start, stop, and the calls of other threads.
   bool OpenDisk(Error* error);
   bool StartServer(Error* error);
   ReplicationGreeting Greet() const;
   bool Post(const std::function<void(Inbox*)>& fill);
   void Log(const std::string& line) const;
 
-  // replica_loop.cc: loop of the replica's thread.
+  // Defined in replica_loop.cc: loop of the replica's thread.
   void Run();
   Inbox WaitForInbox();
   void HandleInbox(Inbox inbox);
@@ -87,14 +87,14 @@
   void Refuse(const Inbox& inbox, const std::string& reason);
   void PublishStatus();
 
-  // replica_ready.cc: carrying out the RaftNode's Ready.
+  // Defined in replica_ready.cc: carrying out the RaftNode's Ready.
   void CarryOutReady();
   bool StoreReady(const Ready& ready, Error* error);
   void NotifyAppended(const std::vector<Entry>& entries);
   void Apply(const std::vector<Entry>& committed);
   void NotifyRole();
 
-  // replica_formation.cc: formation of a new cluster.
+  // Defined in replica_formation.cc: formation of a new cluster.
   void StartNode(StoredState state);
   void TickFormation(const std::vector<Greeting>& greetings);
   void Form();
--- a/include/citronlane/control/detail/snapshot_taker.h
+++ b/include/citronlane/control/detail/snapshot_taker.h
@@ -33,7 +33,7 @@
   /// disk fails.
   bool TakeIfDue(RaftNode* node, ReplicaStorage* storage, Error* error);
   /// Takes a snapshot, due or not. Returns false and sets `error` when the disk
-  /// fails. Precondition: there is a hook.
+  /// fails. Precondition: the hook is set.
   bool Take(RaftNode* node, ReplicaStorage* storage, Error* error);
 
   /// Index of the last snapshot; 0 for none.
--- a/include/citronlane/control/gateway_feed.h
+++ b/include/citronlane/control/gateway_feed.h
@@ -59,7 +59,7 @@
   GatewayFeed& operator=(const GatewayFeed&) = delete;
 
   /// Starts to send updates to a gateway, or updates what it reported of
-  /// itself. Sends it what it lacks at once.
+  /// itself. Immediately sends it everything that it lacks.
   void Watch(const std::shared_ptr<FrameChannel>& channel,
              const wire::fleet::WatchRequest& request,
              TimePoint now);
@@ -72,7 +72,7 @@
   void OnClosed(const FrameChannel* channel);
 
   /// Replaces the list of backend servers, read completely at `now`. `unusable`
-  /// is the number of further entries that name no server.
+  /// is the number of further entries of the list that could not be used.
   void SetServers(std::vector<BackendServer> servers,
                   size_t unusable,
                   TimePoint now);
@@ -86,7 +86,7 @@
 
   size_t gateways() const { return watchers_.size(); }
   /// Whether all watching gateways hold this version or a later one. A gateway
-  /// that has not confirmed an update for long does not count: it is assumed to
+  /// that has left an update unconfirmed for 1.2 s is ignored: it is assumed to
   /// be disconnected.
   bool IsHeldByAll(uint64_t version, TimePoint now) const;
   /// Propagation of the newest version among the watching gateways.
@@ -114,9 +114,9 @@
   const PoolsHook pools_;
   std::map<const FrameChannel*, std::unique_ptr<Watcher>> watchers_;
   RecentDocuments documents_;
-  /// When the newest of them became known here.
+  /// When the newest version became known to this VM.
   TimePoint config_since_;
-  /// Which progress events of the newest one were logged.
+  /// Which progress events of the newest version were logged.
   bool logged_complete_ = false;
   bool logged_late_ = false;
   std::vector<BackendServer> servers_;
--- a/include/citronlane/control/operator_api.h
+++ b/include/citronlane/control/operator_api.h
@@ -45,8 +45,8 @@
     std::function<void(Replica::ReadDone done)> read_;
     /// Whether there are as many voters as the tolerated losses need.
     std::function<bool()> has_all_voters_;
-    /// Whether the gateways hold this version or a later one, except for those
-    /// without contact for long.
+    /// Whether all connected gateways hold this version or a later one; see
+    /// GatewayFeed::IsHeldByAll.
     std::function<bool(uint64_t version)> gateways_hold_;
     /// Returns this VM's metrics in the Prometheus text format.
     std::function<std::string()> metrics_;
--- a/src/control/control_admin.cc
+++ b/src/control/control_admin.cc
@@ -152,7 +152,7 @@
   if (route.target_ == Target::kAnyNode) {
     return route.run_(request, argument, operator_key->operator_);
   }
-  // Waits out an election, which takes less than this.
+  // Waits for the end of an election, which takes less than kLeaderWait.
   const TimePoint until = SteadyNow() + kLeaderWait;
   while (!ConfirmLeadership()) {
     AdminResponse redirect = RedirectToLeader(request);
--- a/src/control/control_calls.cc
+++ b/src/control/control_calls.cc
@@ -10,8 +10,8 @@
 namespace citronlane {
 namespace {
 
-/// ClassSpend.rate is in requests per 1000 s.
-constexpr double kRateScale = 1000;
+/// ClassSpend.rate counts requests per this many seconds.
+constexpr double kRatePeriodSeconds = 1000;
 
 uint64_t ToWhole(double value) {
   return value > 0 ? static_cast<uint64_t>(std::llround(value)) : 0;
@@ -154,7 +154,7 @@
     wire::ClassSpend* spend = report->add_spend();
     spend->set_class_name(usage.class_name());
     spend->set_spent(ToWhole(usage.spent()));
-    spend->set_rate(ToWhole(usage.requests_per_second() * kRateScale));
+    spend->set_rate(ToWhole(usage.requests_per_second() * kRatePeriodSeconds));
   }
   AddLimits(report);
   report->set_share_valid_ms(static_cast<uint64_t>(
@@ -188,7 +188,7 @@
 }
 
 // Commits the backend servers that a gateway reports as leaving, so that the
-// other gateways are notified at once.
+// other gateways are notified immediately.
 void ControlCalls::ProposeLeavingServers(const wire::ReportRequest& request) {
   wire::StateCommand command;
   state_->View([&](const StateMachine& state) {
--- a/src/control/control_host.cc
+++ b/src/control/control_host.cc
@@ -53,13 +53,13 @@
 constexpr auto kShutdownDelay = std::chrono::milliseconds(600);
 /// Maximum size of a document that an operator may send.
 constexpr uint64_t kDocumentBytes = uint64_t{8} << 20;
-constexpr size_t kOperatorConnections = 512;
+constexpr size_t kMaxOperatorConnections = 512;
 
 HttpLimits OperatorLimits() {
   HttpLimits limits;
   limits.body_bytes_ = kDocumentBytes;
   limits.total_body_bytes_ = 4 * kDocumentBytes;
-  limits.connections_ = kOperatorConnections;
+  limits.connections_ = kMaxOperatorConnections;
   return limits;
 }
 
--- a/src/control/operator_api.cc
+++ b/src/control/operator_api.cc
@@ -29,7 +29,7 @@
 /// Maximum wait, from the start of a call, for all voters and for the gateways
 /// to hold the change. A cluster that was just formed has all its voters within
 /// half a second, but there may be fewer VMs. Connected gateways hold a change
-/// sooner, unless changes come faster than they can read them; then the wait
+/// sooner, unless changes arrive faster than they can read them; then the wait
 /// slows the operators down.
 constexpr Duration kPropagationTimeout = std::chrono::milliseconds(700);
 constexpr auto kPropagationPollInterval = std::chrono::milliseconds(10);
@@ -61,8 +61,8 @@
   return reply;
 }
 
-// State of one call's wait for the log. Outlives the call when the result comes
-// after its end.
+// State of one call's wait for the log. Outlives the call when the result
+// arrives after its end.
 struct Wait {
   explicit Wait(HttpExchange* exchange) : exchange_(exchange) {}
 
--- a/src/control/replica.cc
+++ b/src/control/replica.cc
@@ -10,7 +10,7 @@
 namespace citronlane {
 namespace {
 
-// Maximum calls queued for the thread; further ones fail at once.
+// Maximum number of calls queued for the thread; further ones fail immediately.
 constexpr size_t kMaxQueuedCalls = 1 << 16;
 
 }  // namespace
