--- a/include/citronlane/gateway/gateway.h
+++ b/include/citronlane/gateway/gateway.h
@@ -78,9 +78,10 @@
   /// Number of refusals that were dropped before they reached the control VMs.
   uint64_t refusals_dropped() const;
 
-  /// Starts a graceful shutdown and returns at once: the gateway reports that
-  /// it isn't ready, refuses new requests after GatewayOptions::drain_notice_,
-  /// and lets requests in flight end for at most drain_limit_.
+  /// Starts a graceful shutdown and returns immediately: the gateway reports
+  /// that it isn't ready, refuses new requests after
+  /// GatewayOptions::drain_notice_, and lets requests in flight end for at most
+  /// drain_limit_.
   void Shutdown();
 
   /// Waits for the end of the shutdown. Returns false if requests were aborted
--- a/include/citronlane/gateway/gateway_hooks.h
+++ b/include/citronlane/gateway/gateway_hooks.h
@@ -14,9 +14,9 @@
 
 namespace citronlane {
 
-/// What a gateway needs from the rest of the process. Hooks may be called from
-/// several threads at once. All are optional: without them there is no metrics
-/// text, no log, claims are unavailable and refusals are only logged.
+/// Functions of the process that a gateway calls. Hooks may be called from
+/// several threads concurrently. All are optional: without them there is no
+/// metrics text, no log, claims are unavailable and refusals are only logged.
 struct GatewayHooks {
   /// Writes one log line, given without a line end.
   std::function<void(std::string_view)> log_;
--- a/include/citronlane/gateway/pool_shard.h
+++ b/include/citronlane/gateway/pool_shard.h
@@ -55,7 +55,7 @@
                                       TimePoint now,
                                       const CallShape& call);
 
-  /// The methods below report to the PoolRouter; see there.
+  /// These report to the PoolRouter; see its methods of the same names.
   void OnFirstByte(std::string_view server, TimePoint now, Duration latency);
   void OnFinish(std::string_view server,
                 TimePoint now,
--- a/include/citronlane/gateway/refusal_writer.h
+++ b/include/citronlane/gateway/refusal_writer.h
@@ -24,7 +24,7 @@
   /// Called for each refusal, from any thread.
   using EntryHook = std::function<void(const RefusalEntry&, bool admitted)>;
 
-  /// `identity` is Gateway::identity.
+  /// `identity` is the prefix of refusal ids (see Gateway::identity).
   RefusalWriter(std::string identity, std::string receipt_key, EntryHook sink);
 
   /// Assigns an id, passes the entry to the hook and returns the response: a
--- a/include/citronlane/gateway/request_claim.h
+++ b/include/citronlane/gateway/request_claim.h
@@ -34,9 +34,10 @@
   /// Claims the key and waits for the reply. Call once, before the others.
   ClaimAnswer Take();
 
-  /// Stores the answer. Waits for the control VMs for a limited time only; the
-  /// hook keeps retrying afterwards. Precondition: Take returned kGranted, and
-  /// neither Finish nor Release was called.
+  /// Stores the answer. Waits for the control VMs for a limited time only;
+  /// GatewayHooks::finish_claim_ retries in the background after that.
+  /// Precondition: Take returned kGranted, and neither Finish nor Release was
+  /// called.
   void Finish(const StoredAnswer& answer);
 
   /// Releases the key without waiting. Precondition: as for Finish, and nothing
--- a/include/citronlane/net/frame_channel.h
+++ b/include/citronlane/net/frame_channel.h
@@ -20,7 +20,7 @@
 
 /// Sends and receives frames of the protocol between the fleet's processes on
 /// one connection: a length of four bytes, big-endian, then a Frame message.
-/// Replies to pings by itself. It neither connects (see FrameLink) nor
+/// Replies to pings automatically. It neither connects (see FrameLink) nor
 /// interprets other frames.
 ///
 /// Must be owned by a shared pointer, since operations in flight hold it. All
@@ -39,15 +39,16 @@
 
   /// Starts to read. Must be called once, before the other methods.
   void Start(Hooks hooks);
-  /// Queues a frame; pings and pongs go before other queued frames. Closes the
-  /// connection when more than 16 MiB are queued. Does nothing once closed.
+  /// Queues a frame; pings and pongs are sent before other queued frames.
+  /// Closes the connection when more than 16 MiB are queued. Does nothing once
+  /// closed.
   void Send(const wire::fleet::Frame& frame);
   /// Ends the connection; `closed_` runs before it returns. Does nothing once
   /// closed.
   void Close();
 
   bool is_open() const { return is_open_; }
-  /// Bytes that were not yet handed to the operating system.
+  /// Number of bytes that were not yet written to the socket.
   size_t queued_bytes() const { return queued_bytes_; }
   /// Time at which bytes of a frame were last received; at first the time of
   /// construction.
--- a/include/citronlane/transport/admin_server.h
+++ b/include/citronlane/transport/admin_server.h
@@ -17,8 +17,8 @@
 /// called by one thread.
 class AdminServer {
  public:
-  /// Returns the response to a request. Called from several threads at once;
-  /// may block for seconds.
+  /// Returns the response to a request. Called concurrently from several
+  /// threads; may block for seconds.
   using Handler = std::function<AdminResponse(const AdminRequest&)>;
 
   /// `listen` is "IP:port". Serves TLS if `tls` names a certificate.
--- a/include/citronlane/transport/control_client.h
+++ b/include/citronlane/transport/control_client.h
@@ -31,12 +31,12 @@
   ControlClient(const ControlClient&) = delete;
   ControlClient& operator=(const ControlClient&) = delete;
 
-  /// Starts the threads; returns at once. Call once.
+  /// Starts the threads and returns immediately. Call once.
   void Start();
 
   /// Completes pending calls as unavailable and ends the threads. No hook is
-  /// called after it has returned, and calls made later fail at once. May be
-  /// called again.
+  /// called after it has returned, and calls made later fail immediately. May
+  /// be called again.
   void Stop();
 
   /// Claims a key. `done` is called once, from any thread; before Claim returns
@@ -47,8 +47,8 @@
 
   /// Stores the answer of a claim. `done` is called once, from any thread,
   /// after ControlClientOptions::finish_timeout_ at the latest; storing is
-  /// retried in the background after that. Fails at once, without a retry, if
-  /// there are too many pending calls. Precondition: Claim returned kGranted
+  /// retried in the background after that. Fails immediately, without a retry,
+  /// if there are too many pending calls. Precondition: Claim returned kGranted
   /// for this key, and neither Finish nor Release was called since.
   void Finish(const ClaimQuery& query, const StoredAnswer& answer, Done done);
 
--- a/include/citronlane/transport/control_service_hooks.h
+++ b/include/citronlane/transport/control_service_hooks.h
@@ -8,9 +8,9 @@
 
 namespace citronlane {
 
-/// Implementation of the calls of ControlService. Hooks are called from several
-/// threads at once; each must call its callback exactly once, from any thread.
-/// All must be set.
+/// Implementation of the calls of ControlService. Hooks are called concurrently
+/// from several threads; each must call its callback exactly once, from any
+/// thread. All must be set.
 struct ControlServiceHooks {
   template <typename Request, typename Reply>
   using Call =
--- a/include/citronlane/transport/detail/lease_renewer.h
+++ b/include/citronlane/transport/detail/lease_renewer.h
@@ -30,8 +30,8 @@
   void Renew(const std::string& address, uint64_t version);
   /// Sends a renewal to every node.
   void RenewAtAll(uint64_t version);
-  /// Sends a renewal to the nodes that last replied to another version, so that
-  /// each is notified which version is in force here.
+  /// Sends a renewal to the nodes that have not replied to a renewal for this
+  /// version, so that all nodes know which version is in force at this gateway.
   void RenewAtOutdated(uint64_t version);
   /// Sends a renewal to `count` nodes other than `address`, in rotation.
   void RenewAtOthers(const std::string& address,
--- a/include/citronlane/transport/detail/timer_queue.h
+++ b/include/citronlane/transport/detail/timer_queue.h
@@ -23,8 +23,9 @@
   TimerQueue& operator=(const TimerQueue&) = delete;
 
   void Start();
-  /// Runs the remaining tasks at once, in order of time, and ends the thread.
-  /// Tasks added later run at once in the calling thread. May be called again.
+  /// Runs the remaining tasks immediately, in order of time, and ends the
+  /// thread. Tasks added later run immediately in the calling thread. May be
+  /// called again.
   void Stop();
 
   /// Runs the task at `time`; tasks for the same time run in the order in which
--- a/include/citronlane/transport/http_exchange.h
+++ b/include/citronlane/transport/http_exchange.h
@@ -30,11 +30,12 @@
   /// Ends the stream. Returns the same as Write.
   virtual bool EndStream() = 0;
   /// Closes the connection without ending the stream, so that the caller can
-  /// tell that it is incomplete.
+  /// detect that it is incomplete.
   virtual void Abort() = 0;
 
   /// Suspends the handler until Notify is called, which also happens once when
-  /// the caller disconnects. Returns at once if Notify was called before.
+  /// the caller disconnects. Returns immediately if Notify was
+  /// called before.
   virtual void Wait() = 0;
   /// Wakes up Wait. May be called from any code on the connection's thread.
   virtual void Notify() = 0;
--- a/include/citronlane/transport/http_listener_hooks.h
+++ b/include/citronlane/transport/http_listener_hooks.h
@@ -13,8 +13,8 @@
 class HttpExchange;
 struct HttpRequest;
 
-/// Request handling of an HttpListener. Called on the threads of the
-/// connections, several at once. serve_ and refuse_ must be set.
+/// Request handling of an HttpListener. Called concurrently on the threads of
+/// the connections. serve_ and refuse_ must be set.
 struct HttpListenerHooks {
   /// Serves one request, in the connection's coroutine on the thread of
   /// `shard`. Must respond through the exchange before it returns.
--- a/include/citronlane/transport/replication_peer.h
+++ b/include/citronlane/transport/replication_peer.h
@@ -37,7 +37,7 @@
   ReplicationPeer(const ReplicationPeer&) = delete;
   ReplicationPeer& operator=(const ReplicationPeer&) = delete;
 
-  /// Queues the messages and returns at once. They are dropped if the peer
+  /// Queues the messages and returns immediately. They are dropped if the peer
   /// can't be reached or doesn't keep up.
   void Send(TimePoint now, std::vector<Message> messages);
 
--- a/include/citronlane/transport/replication_server.h
+++ b/include/citronlane/transport/replication_server.h
@@ -20,7 +20,7 @@
 /// Receives the Raft messages of the other control VMs. Thread safe.
 class ReplicationServer {
  public:
-  /// Called on gRPC threads, several at once. All must be set.
+  /// Called concurrently on several gRPC threads. All must be set.
   struct Hooks {
     /// A message arrived.
     std::function<void(Message message)> received_;
--- a/include/citronlane/transport/reply_owner.h
+++ b/include/citronlane/transport/reply_owner.h
@@ -4,8 +4,8 @@
 namespace citronlane {
 
 /// The call that a backend server's reply belongs to. HTTP pairs replies with
-/// calls only by their order on a connection, so a server that replies twice to
-/// one call would shift all replies after it.
+/// calls only by their order on a connection, so after a second reply to one
+/// call, each later reply would be matched with the wrong call.
 enum class ReplyOwner {
   kThisCall,
   /// The reply is accepted, although nothing in it shows that it belongs to
--- a/include/citronlane/transport/stage_client.h
+++ b/include/citronlane/transport/stage_client.h
@@ -16,8 +16,8 @@
 namespace citronlane {
 
 /// HTTP/1.1 client for calls to backend servers, with a pool of kept-alive
-/// connections per server. It sends each call at most once; retries are the
-/// decision of whoever starts the call. Not thread safe: used on the one thread
+/// connections per server. It sends each call at most once; retries are up
+/// to the code that starts the call. Not thread safe: used on the one thread
 /// that runs the io_context.
 class StageClient {
  public:
--- a/src/gateway/gateway.cc
+++ b/src/gateway/gateway.cc
@@ -105,8 +105,8 @@
     if (config->version_ <= state_.config_version()) {
       return false;
     }
-    // Pools and limits come first, so that a request that reads the new version
-    // finds everything it refers to.
+    // Pools and limits are updated first, so that a request that reads the new
+    // version finds everything it refers to.
     const TimePoint now = SteadyNow();
     pools_.Update(*config, now);
     admission_.Update(*config, now);
--- a/src/gateway/gateway_metrics.cc
+++ b/src/gateway/gateway_metrics.cc
@@ -11,8 +11,8 @@
 /// caller caused it: a bad request (1xx), its account (2xx) or its idempotency
 /// key (6xx).
 bool CountsAsMissedTarget(RefusalReason reason) {
-  constexpr int kGroupSize = 100;
-  switch (static_cast<int>(reason) / kGroupSize) {
+  constexpr int kReasonsPerGroup = 100;
+  switch (static_cast<int>(reason) / kReasonsPerGroup) {
     case 1:
     case 2:
     case 6:
--- a/src/gateway/refusal_backlog.cc
+++ b/src/gateway/refusal_backlog.cc
@@ -7,7 +7,7 @@
 namespace citronlane {
 namespace {
 
-constexpr size_t kBatchSize = 256;
+constexpr size_t kMaxBatchEntries = 256;
 
 /// Whether the request or its client account was invalid: reasons 1xx and 2xx.
 bool IsCallerError(RefusalReason reason) {
@@ -52,7 +52,7 @@
 std::vector<RefusalEntry> RefusalBacklog::TakeBatch(uint64_t* dropped) {
   const std::lock_guard lock(mutex_);
   const auto size =
-      static_cast<std::ptrdiff_t>(std::min(kBatchSize, entries_.size()));
+      static_cast<std::ptrdiff_t>(std::min(kMaxBatchEntries, entries_.size()));
   std::vector<RefusalEntry> batch(
       std::make_move_iterator(entries_.begin()),
       std::make_move_iterator(entries_.begin() + size));
--- a/src/gateway/request_driver.cc
+++ b/src/gateway/request_driver.cc
@@ -97,7 +97,7 @@
   const detail::InFlightCall& slow = *in_flight_calls_.front();
   const TimePoint now = SteadyNow();
   query.elapsed_ = now - slow.started_;
-  // The hedge timer that led here has just expired after the delay.
+  // The hedge timer that caused this call has just expired after the delay.
   query.delay_ = query.elapsed_;
   query.expected_ = pool.Estimate(now, slow.shape_).first_byte_;
   query.remaining_ = slow.deadline_ - now;
--- a/src/net/frame_channel.cc
+++ b/src/net/frame_channel.cc
@@ -18,9 +18,9 @@
 
 /// Well above the largest valid frame, which holds a full configuration.
 constexpr uint32_t kMaxFrameBytes = 64U << 20;
-/// A peer that leaves this much unread is taken for stuck.
+/// The connection is closed when more is queued: the peer has stopped reading.
 constexpr size_t kMaxQueuedBytes = size_t{16} << 20;
-constexpr int kByteBits = 8;
+constexpr int kBitsPerByte = 8;
 
 std::string EncodeWithLength(const Frame& frame) {
   std::string bytes(4, '\0');
@@ -28,7 +28,7 @@
   const auto size = static_cast<uint32_t>(bytes.size() - 4);
   for (int i = 0; i < 4; ++i) {
     bytes[static_cast<size_t>(i)] =
-        static_cast<char>(size >> (kByteBits * (3 - i)));
+        static_cast<char>(size >> (kBitsPerByte * (3 - i)));
   }
   return bytes;
 }
@@ -49,8 +49,8 @@
   }
   std::string bytes = EncodeWithLength(frame);
   queued_bytes_ += bytes.size();
-  // Pings and pongs overtake queued data: a peer that waits for a pong behind
-  // it would close the connection.
+  // Pings and pongs are sent before queued data: a peer that waits for a pong
+  // behind it would close the connection.
   if (frame.has_ping() || frame.has_pong()) {
     queue_.push_front(std::move(bytes));
   } else {
@@ -89,7 +89,7 @@
         }
         uint32_t size = 0;
         for (const unsigned char byte : self->length_) {
-          size = size << kByteBits | byte;
+          size = size << kBitsPerByte | byte;
         }
         if (size > kMaxFrameBytes) {
           self->Close();
@@ -105,7 +105,7 @@
       socket_, asio::buffer(body_),
       [self = shared_from_this()](const error_code& error, size_t read) {
         // Called after each partial read: a peer that is sending a large frame
-        // must not be taken for silent.
+        // must not count as silent.
         self->last_received_ = SteadyNow();
         return error || read == self->body_.size() ? size_t{0}
                                                    : self->body_.size() - read;
--- a/src/net/frame_link.cc
+++ b/src/net/frame_link.cc
@@ -24,7 +24,7 @@
 constexpr Duration kPingAfter = std::chrono::milliseconds(200);
 constexpr Duration kSilenceTimeout = std::chrono::milliseconds(700);
 constexpr int kAckTimeoutMs = 700;
-/// Most frames that wait for a connection to be made.
+/// Maximum number of frames that wait for a connection to be made.
 constexpr size_t kMaxWaitingFrames = 4096;
 
 }  // namespace
--- a/src/net/server_list_reader.cc
+++ b/src/net/server_list_reader.cc
@@ -62,7 +62,7 @@
   StageCallSpec spec = SpecFor(address_, "GET", dialect_->list_target_(page),
                                SteadyNow() + kPageTimeout);
   // A page carries neither its token nor an id of the call: on a reused
-  // connection, a late reply would be taken for the next page.
+  // connection, a late reply would be read as the next page.
   spec.fresh_connection_ = true;
   call_ = client_->Start(std::move(spec), std::move(hooks));
 }
--- a/src/net/tcp_listener.cc
+++ b/src/net/tcp_listener.cc
@@ -13,7 +13,7 @@
 using boost::system::error_code;
 using tcp = boost::asio::ip::tcp;
 
-constexpr int kBacklog = 1024;
+constexpr int kListenBacklog = 1024;
 /// Without a pause, a listener that is out of file descriptors would retry in a
 /// busy loop.
 constexpr auto kPauseAfterError = std::chrono::milliseconds(20);
@@ -81,7 +81,7 @@
     acceptor.bind(*endpoint, failure);
   }
   if (!failure) {
-    acceptor.listen(kBacklog, failure);
+    acceptor.listen(kListenBacklog, failure);
   }
   if (failure) {
     error->message_ =
--- a/src/transport/config_feed.cc
+++ b/src/transport/config_feed.cc
@@ -10,8 +10,8 @@
 namespace citronlane {
 namespace {
 
-/// Maximum number of unsent updates of one watcher.
-constexpr size_t kMaxQueued = 64;
+/// Maximum number of unsent updates of one watcher; its stream ends beyond it.
+constexpr size_t kMaxQueuedUpdates = 64;
 
 std::shared_ptr<const grpc::ByteBuffer> Serialize(
     const wire::ConfigUpdate& update) {
@@ -34,7 +34,7 @@
     if (has_ended_) {
       return;
     }
-    if (queue_.size() >= kMaxQueued) {
+    if (queue_.size() >= kMaxQueuedUpdates) {
       End(grpc::StatusCode::RESOURCE_EXHAUSTED, "The watcher is too slow.");
       return;
     }
--- a/src/transport/config_holder.cc
+++ b/src/transport/config_holder.cc
@@ -15,8 +15,8 @@
 /// The lease is renewed at the watched node in each tick, at others in every
 /// second one.
 constexpr uint64_t kTicksPerRound = 2;
-/// The lease is renewed at all nodes once less than its length divided by this
-/// is left.
+/// The lease is renewed at all nodes once its remaining time is below its
+/// length divided by this number.
 constexpr int kRenewAllDivisor = 2;
 /// Upper bound of behind_limit_.
 constexpr Duration kMaxBehindLimit = std::chrono::seconds(8);
@@ -94,7 +94,7 @@
   lease_.Accept(version);
   behind_limit_ = link_->options_.watch_timeout_;
   ReportLease();
-  // Notifies the control VMs at once that the version is in force here.
+  // Notifies the control VMs immediately that the version is in force here.
   renewer_.RenewAtAll(version);
 }
 
--- a/src/transport/connection_pool.cc
+++ b/src/transport/connection_pool.cc
@@ -71,8 +71,8 @@
   return count;
 }
 
-// Closes expired connections of all servers from time to time, because those of
-// removed servers are not requested any more.
+// Closes expired connections of all servers periodically: no call takes one to
+// a removed server, so they would otherwise stay open.
 void ConnectionPool::CloseExpired() {
   const TimePoint now = SteadyNow();
   if (now < next_expiry_check_) {
--- a/src/transport/http_connection.cc
+++ b/src/transport/http_connection.cc
@@ -107,8 +107,8 @@
   }
 }
 
-// Callers pair responses with requests by their order. A second response would
-// be taken for that to the next request, and shift all later ones.
+// Callers pair responses with requests by their order. After a second response
+// to one request, they would match each later response with the wrong request.
 bool HttpConnection::BeginResponse(ResponseState state) {
   if (response_state_ != ResponseState::kNone) {
     ReportMisuse("answered twice");
@@ -194,7 +194,8 @@
   response_state_ = ResponseState::kNone;
   state_->hooks_.serve_(shard_, request, this);
   StopWatching();
-  // After an incomplete response, the next one would be taken for its rest.
+  // A response after an incomplete one would be read as the remainder of that
+  // one.
   keep_alive_ = keep_alive_ && response_state_ == ResponseState::kComplete;
   request_ = nullptr;
   ReleaseBody();
--- a/src/transport/order_sender.cc
+++ b/src/transport/order_sender.cc
@@ -79,8 +79,8 @@
     }
     beast::tcp_stream stream(context_);
     streams_.insert(&stream);
-    // One deadline for the whole exchange, and a reset at its end, so that no
-    // byte of the order can arrive later.
+    // One deadline for the complete exchange, and a reset at its end, so that
+    // no byte of the order can arrive later.
     stream.expires_at(until);
     const Outcome outcome =
         Exchange(&stream, asio::ip::tcp::endpoint(ip, port), body, yield);
--- a/src/transport/stage_client.cc
+++ b/src/transport/stage_client.cc
@@ -209,8 +209,8 @@
   }
 
   /// Whether the reply echoes this call's id, if the server does so at all.
-  /// After one that doesn't, a second reply to this call could not be told from
-  /// the reply to the next call on the connection.
+  /// After one that doesn't, a second reply to this call could not be
+  /// distinguished from the reply to the next call on the connection.
   bool EchoesThisCall(const StageReplyHead& head) const {
     return spec_.attempt_id_.empty() || head.echoed_id_ == spec_.attempt_id_;
   }
--- a/src/transport/stage_token_reader.cc
+++ b/src/transport/stage_token_reader.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kDataField = "data:";
 constexpr std::string_view kDoneText = "[DONE]";
-constexpr double kMaxOffset = 1e9;
+constexpr double kMaxTokenOffset = 1e9;
 
 /// Returns the token of one event, or nothing if the event is malformed.
 std::optional<Token> ReadToken(std::string_view data) {
@@ -29,7 +29,7 @@
   const double number = offset->AsNumber();
   const JsonValue& choice = choices->items().front();
   const JsonValue* text = choice.Find("text");
-  if (number < 0 || number > kMaxOffset || number != std::floor(number) ||
+  if (number < 0 || number > kMaxTokenOffset || number != std::floor(number) ||
       text == nullptr || !text->IsString()) {
     return std::nullopt;
   }
