--- a/include/citronlane/json/parse.h
+++ b/include/citronlane/json/parse.h
@@ -14,7 +14,7 @@
 /// Deepest nesting that ParseJson accepts.
 constexpr int kMaxJsonDepth = 64;
 
-/// Most values one document may hold; bounds the memory of a parse.
+/// Maximum number of values in a document; bounds the memory of a parse.
 constexpr int kMaxJsonValues = 500'000;
 
 /// Parses JSON; `//` and `/* */` comments are allowed. Refuses duplicate names
--- a/src/cli/admin_client.cc
+++ b/src/cli/admin_client.cc
@@ -18,8 +18,8 @@
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-// Most control VMs that are called in a chain of redirects.
-constexpr int kMaxHops = 4;
+// Maximum number of control VMs called in one chain of redirects.
+constexpr int kMaxChainedCalls = 4;
 constexpr int kTemporaryRedirect = 307;
 constexpr int kUnavailable = 503;
 constexpr milliseconds kTryTimeout(3000);
@@ -172,7 +172,7 @@
     const std::optional<std::string>& body,
     Deadline deadline,
     Error* error) const {
-  for (int hops = 0; hops < kMaxHops; ++hops) {
+  for (int hops = 0; hops < kMaxChainedCalls; ++hops) {
     Exchange exchange;
     try {
       exchange =
@@ -192,7 +192,8 @@
     }
     return reply;
   }
-  error->message_ = address + ": more than " + std::to_string(kMaxHops - 1) +
+  error->message_ = address + ": more than " +
+                    std::to_string(kMaxChainedCalls - 1) +
                     " redirects between control VMs";
   return std::nullopt;
 }
--- a/src/json/parse.cc
+++ b/src/json/parse.cc
@@ -9,9 +9,9 @@
 namespace citronlane {
 namespace {
 
-// In objects with fewer members than this, duplicates are found by linear
-// search; larger ones get a hash set of their names.
-constexpr size_t kMaxLinearSearch = 16;
+// Duplicates are found by a hash set of the names in objects with at least this
+// many members, and by linear search in smaller ones.
+constexpr size_t kMinHashedMembers = 16;
 
 // RapidJSON input stream over a string view that counts lines.
 class LineStream {
@@ -112,7 +112,7 @@
 }
 
 bool Builder::IsDuplicate(Frame* frame) const {
-  if (frame->value_.members().size() < kMaxLinearSearch) {
+  if (frame->value_.members().size() < kMinHashedMembers) {
     return frame->value_.Find(frame->key_) != nullptr;
   }
   if (frame->names_.empty()) {
--- a/src/observe/metrics.cc
+++ b/src/observe/metrics.cc
@@ -25,17 +25,17 @@
 
 // Upper bounds of the histogram buckets in seconds. A time equal to a bound
 // counts in the next bucket, since Boost.Histogram's intervals are half open.
-constexpr std::array<double, 18> kBounds = {
+constexpr std::array<double, 18> kBucketBoundsSeconds = {
     0.0005, 0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25,
     0.5,    0.8,   1.2,    2,     4,    8,     15,   30,  60};
 
-using Histogram =
-    decltype(bh::make_histogram_with(std::vector<uint64_t>(),
-                                     bh::axis::variable<>(kBounds)));
+using Histogram = decltype(bh::make_histogram_with(
+    std::vector<uint64_t>(),
+    bh::axis::variable<>(kBucketBoundsSeconds)));
 
 Histogram MakeHistogram() {
   return bh::make_histogram_with(std::vector<uint64_t>(),
-                                 bh::axis::variable<>(kBounds));
+                                 bh::axis::variable<>(kBucketBoundsSeconds));
 }
 
 // Value of a metric for one combination of label values.
@@ -147,11 +147,11 @@
                     std::ostream& text) {
   const std::string prefix = labels.empty() ? labels : labels + ",";
   uint64_t cumulative = 0;
-  for (size_t i = 0; i < kBounds.size(); ++i) {
+  for (size_t i = 0; i < kBucketBoundsSeconds.size(); ++i) {
     // Index -1 is the underflow bucket, with the times below the first bound.
     cumulative += series.histogram_->at(static_cast<int>(i) - 1);
     text << metric.name_ << "_bucket{" << prefix << "le=\""
-         << NumberText(kBounds[i]) << "\"} " << cumulative << '\n';
+         << NumberText(kBucketBoundsSeconds[i]) << "\"} " << cumulative << '\n';
   }
   const uint64_t count = CountOf(*series.histogram_);
   text << metric.name_ << "_bucket{" << prefix << "le=\"+Inf\"} " << count
--- a/src/settings/control_settings.cc
+++ b/src/settings/control_settings.cc
@@ -26,9 +26,9 @@
 constexpr uint64_t kMaxCount = 100'000'000;
 constexpr uint64_t kMaxAnswerBytes = 16ULL * 1024 * 1024;
 constexpr uint64_t kMaxTotalBytes = 4ULL * 1024 * 1024 * 1024;
-constexpr uint64_t kMaxHistory = 10'000;
-constexpr double kMaxRate = 1000;
-constexpr uint64_t kMaxBurst = 1000;
+constexpr uint64_t kMaxHistoryVersions = 10'000;
+constexpr double kMaxLoadsPerSecond = 1000;
+constexpr uint64_t kMaxBurstLoads = 1000;
 constexpr std::array<std::string_view, 2> kRoles = {"read", "change"};
 
 void ReadPeer(ObjectReader& reader,
@@ -87,7 +87,7 @@
 }
 
 void ReadRetention(ObjectReader& reader, StateLimits* limits) {
-  reader.Whole("history_versions", Need::kOptional, 1, kMaxHistory,
+  reader.Whole("history_versions", Need::kOptional, 1, kMaxHistoryVersions,
                &limits->history_versions_);
   reader.Whole("change_id_ms", Need::kOptional, 1, kMaxRetentionMs,
                &limits->change_id_window_ms_);
@@ -127,9 +127,9 @@
                       &options->platform_interval_);
   });
   reader.Object("weight_store", Need::kOptional, [&](ObjectReader& store) {
-    store.Number("loads_per_second", Need::kOptional, 0, kMaxRate,
+    store.Number("loads_per_second", Need::kOptional, 0, kMaxLoadsPerSecond,
                  &options->weight_store_rate_);
-    store.Whole("burst", Need::kOptional, 1, kMaxBurst,
+    store.Whole("burst", Need::kOptional, 1, kMaxBurstLoads,
                 &options->weight_store_burst_);
   });
 }
--- a/src/settings/gateway_settings.cc
+++ b/src/settings/gateway_settings.cc
@@ -23,7 +23,7 @@
 constexpr uint64_t kMinBodyBytes = 1024;
 constexpr uint64_t kMaxBodyBytes = 256ULL * 1024 * 1024;
 constexpr uint64_t kMaxStoredBytes = 16ULL * 1024 * 1024;
-constexpr uint64_t kMaxBacklog = 1'000'000;
+constexpr uint64_t kMaxBacklogRefusals = 1'000'000;
 constexpr size_t kMinReceiptKeyLength = 16;
 
 void ReadLimits(ObjectReader& reader, HttpLimits* limits) {
@@ -135,7 +135,7 @@
   ReadTimes(reader, options);
   reader.Whole("stored_answer_bytes", Need::kOptional, 0, kMaxStoredBytes,
                &options->stored_answer_bytes_);
-  reader.Whole("refusal_backlog", Need::kOptional, 1, kMaxBacklog,
+  reader.Whole("refusal_backlog", Need::kOptional, 1, kMaxBacklogRefusals,
                &options->refusal_backlog_);
   reader.Number("hedge_budget", Need::kOptional, 0, 1, &options->hedge_budget_);
   reader.Number("retry_budget", Need::kOptional, 0, 1, &options->retry_budget_);
