--- a/include/citronlane/transport/stage_adapter_input.h
+++ b/include/citronlane/transport/stage_adapter_input.h
@@ -10,7 +10,8 @@
 struct StageOutput;
 struct StartCall;
 
-/// Input of StageAdapter::WriteCall. Every pointer must be set.
+/// Input of StageAdapter::WriteCall. Every pointer must be set and outlive that
+/// call.
 struct StageAdapterInput {
   const StageConfig* stage_ = nullptr;
   const PipelineInput* input_ = nullptr;
--- a/src/relay/stage_pool.cc
+++ b/src/relay/stage_pool.cc
@@ -18,7 +18,7 @@
 constexpr int kOk = 200;
 /// Freeing takes little time; a server that does not reply expires the results.
 constexpr Duration kFreeTimeout = std::chrono::milliseconds(800);
-/// How long replies are remembered: idle connections are closed sooner.
+/// How long replies are remembered. An idle connection is not reused after 4 s.
 constexpr Duration kReplyMemoryTime = std::chrono::seconds(10);
 
 }  // namespace
